--- a/crates/hollywell/src/core/hold.rs
+++ b/crates/hollywell/src/core/admission.rs
@@ -41,7 +41,7 @@
 /// # Example
 ///
 /// ```
-/// use hollywell::core::hold::{Next, Sight, next};
+/// use hollywell::core::admission::{Next, Sight, next};
 ///
 /// let full = Sight { known: true, usable: 4, usual_ms: Some(40), left_ms: 500 };
 /// assert_eq!(next(full), Next::Hold);
--- a/crates/hollywell/src/core/batch/book.rs
+++ b/crates/hollywell/src/core/batch/book.rs
@@ -10,7 +10,7 @@
 use prost::Message as _;
 
 use super::{Head, Outcome, Partial, Record, SEPARATOR, TextRef, head_record, partial_texts};
-use crate::core::room::{LIVE_OVERHEAD, LOG_OVERHEAD};
+use crate::core::capacity::{LIVE_OVERHEAD, LOG_OVERHEAD};
 
 /// One result at its position.
 #[derive(Clone, Debug)]
--- a/crates/hollywell/src/core/room.rs
+++ b/crates/hollywell/src/core/capacity.rs
@@ -86,7 +86,7 @@
     /// # Example
     ///
     /// ```
-    /// use hollywell::core::room::Use;
+    /// use hollywell::core::capacity::Use;
     ///
     /// assert_eq!(Use::Unfinished.as_str(), "unfinished");
     /// ```
@@ -139,7 +139,7 @@
 /// # Example
 ///
 /// ```
-/// use hollywell::core::{room::Log, time::Time};
+/// use hollywell::core::{capacity::Log, time::Time};
 ///
 /// let mut log = Log::default();
 /// for second in 0..60 {
@@ -228,7 +228,7 @@
 ///
 /// ```
 /// use hollywell::core::{
-///     room::{State, Use},
+///     capacity::{State, Use},
 ///     time::Time,
 /// };
 ///
--- a/crates/hollywell/src/core/plan.rs
+++ b/crates/hollywell/src/core/configuration.rs
@@ -96,7 +96,7 @@
     /// # Example
     ///
     /// ```
-    /// use hollywell::core::plan::{Plan, Repeat, Route};
+    /// use hollywell::core::configuration::{Plan, Repeat, Route};
     ///
     /// let route = |name: &str, prefix: &str| Route {
     ///     name: name.into(), host: "h".into(), prefix: prefix.into(),
--- a/crates/hollywell/src/core/dispatch/leave.rs
+++ b/crates/hollywell/src/core/dispatch/leave.rs
@@ -8,7 +8,7 @@
 
 use super::{
     Effect, Leave, Progress, Run, Running, Slot, Stage, State, TOKENS_AN_EVENT,
-    near::{self, Who},
+    locality::{self, Who},
 };
 use crate::core::{
     choice::{Need, Sights},
@@ -75,7 +75,7 @@
     /// this one, since groups are dealt out evenly.
     fn expect(&mut self, now: Time, fleet: &Fleet, sights: &mut Sights) {
         let is_kept = |(at, targets): &(Time, usize)| {
-            now.since(*at) < COUNT_MS && *targets > 0 && !near::is_small(fleet)
+            now.since(*at) < COUNT_MS && *targets > 0 && !locality::is_small(fleet)
         };
         let counted = self.targets.filter(is_kept);
         let (at, targets) = counted.unwrap_or_else(|| {
--- a/crates/hollywell/src/core/dispatch/mod.rs
+++ b/crates/hollywell/src/core/dispatch/mod.rs
@@ -13,14 +13,14 @@
 //! through here: the driver keeps it, the reducer counts events.
 
 mod leave;
-mod near;
+mod locality;
 mod owners;
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 use serde::{Deserialize, Serialize};
 
-use near::{Near, Who};
+use locality::{Near, Who};
 pub use owners::owner;
 use owners::{Change, Owners};
 
--- a/crates/hollywell/src/core/ending.rs
+++ b/crates/hollywell/src/core/ending.rs
@@ -10,7 +10,7 @@
 //! What is held here is lost with the process. An instance that starts is
 //! told by those that hold ends as soon as they read that it lives; if all
 //! instances lose power at once, only what the store has is left, which is
-//! why ends always find room there ([`crate::core::room`]).
+//! why ends always find room there ([`crate::core::capacity`]).
 //!
 //! What it leaves out: the calls themselves, and what an ended job means to
 //! others ([`crate::core::dispatch`], [`crate::core::batch`]).
--- a/crates/hollywell/src/core/mod.rs
+++ b/crates/hollywell/src/core/mod.rs
@@ -18,25 +18,27 @@
 //! | [`pace`] | how fast weights are fetched |
 //! | [`rollout`] | which samples run next and which are delivered |
 //! | [`ending`] | what becomes of an end that the platform's store has not taken |
-//! | [`hold`] | whether a request that no target can take is held or rejected |
+//! | [`admission`] | whether a request that no target can take is held or rejected |
 //! | [`group`] | whether a reading of a group shows all its members |
 //! | [`poison`] | which requests end the targets that run them |
 //! | [`turn`] | what one party of all does at a time |
-//! | [`room`] | what the store's room is left for, and how far a log is trimmed |
+//! | [`capacity`] | what the store's room is left for, and how far a log is trimmed |
 //!
 //! What it leaves out: bodies, sockets and threads, which are in
 //! [`crate::traffic`], [`crate::peer`] and [`crate::control`].
 
+pub mod admission;
 pub mod batch;
+pub mod capacity;
 pub mod choice;
 pub mod claim;
+pub mod configuration;
 pub mod dispatch;
 pub mod effect;
 pub mod ending;
 pub mod event;
 pub mod fleet;
 pub mod group;
-pub mod hold;
 pub mod id;
 pub mod lease;
 mod malformed;
@@ -45,14 +47,11 @@
 pub mod owner;
 pub mod pace;
 pub mod patience;
-pub mod plan;
 pub mod poison;
 pub mod reducer;
 pub mod relay;
 pub mod retry;
-pub mod roll;
 pub mod rollout;
-pub mod room;
 pub mod roster;
 pub mod route;
 pub mod stream;
@@ -61,3 +60,4 @@
 pub mod time;
 pub mod turn;
 pub mod usage;
+pub mod weight_loading;
--- a/crates/hollywell/src/entry/caller.rs
+++ b/crates/hollywell/src/entry/caller.rs
@@ -14,8 +14,8 @@
 
 use crate::{
     core::{
+        configuration::{Plan, Route},
         organisation::{Directory, Organisation, Stranger},
-        plan::{Plan, Route},
     },
     entry::{plans, shared::Shared},
     error::Kind,
--- a/crates/hollywell/src/entry/clean.rs
+++ b/crates/hollywell/src/entry/clean.rs
@@ -13,8 +13,8 @@
 use crate::{
     core::{
         batch::{self, Book, Keys, Spare, Terms},
+        capacity::Use,
         dispatch::owner,
-        room::Use,
         time::Time,
     },
     entry::{
--- a/crates/hollywell/src/entry/dialect.rs
+++ b/crates/hollywell/src/entry/dialect.rs
@@ -10,8 +10,8 @@
 use crate::core::{
     batch::{Outcome, Submission},
     choice::Load,
+    configuration::Plan,
     fleet::Announcement,
-    plan::Plan,
     usage::Counts,
 };
 
--- a/crates/hollywell/src/entry/duties.rs
+++ b/crates/hollywell/src/entry/duties.rs
@@ -14,7 +14,7 @@
 
 use crate::{
     core::{
-        room::Use,
+        capacity::Use,
         roster,
         usage::{self, Ledger, Next},
     },
--- a/crates/hollywell/src/entry/ends.rs
+++ b/crates/hollywell/src/entry/ends.rs
@@ -12,8 +12,8 @@
 use crate::{
     core::{
         batch,
+        capacity::Use,
         ending::{Effect, Event},
-        room::Use,
     },
     entry::{
         jobs::Reply,
--- a/crates/hollywell/src/entry/forward.rs
+++ b/crates/hollywell/src/entry/forward.rs
@@ -18,10 +18,10 @@
 
 use crate::{
     core::{
+        admission,
         choice::Need,
+        configuration::{Repeat, Route},
         fleet::Announcement,
-        hold,
-        plan::{Repeat, Route},
         poison::{Digest, Verdict as Blame},
         time::Time,
     },
@@ -266,7 +266,9 @@
             if shared.world.borrow().stopping {
                 break;
             }
-            if let hold::Next::Reject(ms) = hold::next(sight(shared, route, salt, left_ms)) {
+            if let admission::Next::Reject(ms) =
+                admission::next(sight(shared, route, salt, left_ms))
+            {
                 attempt.come_back_ms = Some(ms);
                 break;
             }
@@ -305,13 +307,13 @@
 }
 
 /// What is known of a route's targets where none of them can take a request.
-fn sight(shared: &Shared, route: &Route, salt: u64, left_ms: u64) -> hold::Sight {
+fn sight(shared: &Shared, route: &Route, salt: u64, left_ms: u64) -> admission::Sight {
     let world = shared.world.borrow();
     let pool = pick_pool(route, salt).unwrap_or("");
     let usable = || world.fleet.usable(pool).map(|target| target.said.id.as_str());
     let answers = usable().filter_map(|id| world.sights.of(id)?.answer_ms);
     let usual_ms = answers.min_by(f64::total_cmp).map(|ms| ms as u64);
-    hold::Sight { known: world.fleet_known, usable: usable().count(), usual_ms, left_ms }
+    admission::Sight { known: world.fleet_known, usable: usable().count(), usual_ms, left_ms }
 }
 
 fn patience(route: &Route) -> u64 {
--- a/crates/hollywell/src/entry/ingress.rs
+++ b/crates/hollywell/src/entry/ingress.rs
@@ -19,7 +19,7 @@
 
 use crate::{
     core::{
-        plan::{Plan, Repeat, Route},
+        configuration::{Plan, Repeat, Route},
         time::Time,
     },
     entry::{
--- a/crates/hollywell/src/entry/jobs.rs
+++ b/crates/hollywell/src/entry/jobs.rs
@@ -17,8 +17,8 @@
 use crate::{
     core::{
         batch::{self, Head, Outcome, Sample, Submission, TextRef},
+        capacity::Use,
         dispatch::{Event, Slot},
-        room::Use,
     },
     entry::{
         caller::Caller,
--- a/crates/hollywell/src/entry/lease.rs
+++ b/crates/hollywell/src/entry/lease.rs
@@ -12,7 +12,7 @@
 
 use crate::{
     core::{
-        room::Use,
+        capacity::Use,
         tenure::{Claim, Tenure, Terms},
     },
     entry::{
--- a/crates/hollywell/src/entry/mod.rs
+++ b/crates/hollywell/src/entry/mod.rs
@@ -4,7 +4,7 @@
 //! and a [`store::Client`], both plain structs of closures that an adapter
 //! fills in; nothing here knows how anything is spelled. Decisions are taken
 //! in [`crate::core`]: [`crate::core::dispatch`] (what runs where),
-//! [`crate::core::batch`] (what is listed), [`crate::core::roll`] (weights).
+//! [`crate::core::batch`] (what is listed), [`crate::core::weight_loading`] (weights).
 //! Modules here carry those decisions out.
 //!
 //! Everything runs on one thread, control state and traffic alike. The
--- a/crates/hollywell/src/entry/news.rs
+++ b/crates/hollywell/src/entry/news.rs
@@ -9,7 +9,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::{
-    core::{dispatch::Event, roll::Order, room::Use},
+    core::{capacity::Use, dispatch::Event, weight_loading::Order},
     entry::{
         follow, room,
         shared::Shared,
--- a/crates/hollywell/src/entry/orders.rs
+++ b/crates/hollywell/src/entry/orders.rs
@@ -13,8 +13,8 @@
 
 use crate::{
     core::{
-        roll::{self, Order, Step},
         roster,
+        weight_loading::{self, Order, Step},
     },
     entry::{
         dialect::VersionOrder,
@@ -48,7 +48,7 @@
 
 struct Office {
     lease: Rc<Lease>,
-    roll: RefCell<roll::State>,
+    roll: RefCell<weight_loading::State>,
 }
 
 /// Competes for the failure domain's lease and gives orders while it is
@@ -87,7 +87,7 @@
     }
     {
         let world = shared.world.borrow();
-        office.lease.want(roll::is_due(domain, &world.models, &world.fleet));
+        office.lease.want(weight_loading::is_due(domain, &world.models, &world.fleet));
     }
     // Orders may be given only if a call started now ends within the lease.
     if office.lease.fence(shared, CALL).is_none() {
--- a/crates/hollywell/src/entry/outbox.rs
+++ b/crates/hollywell/src/entry/outbox.rs
@@ -18,8 +18,8 @@
 use crate::{
     core::{
         batch::{self, Outcome, Partial, TextRef},
+        capacity::Use,
         dispatch::Slot,
-        room::Use,
     },
     entry::{
         run::Text,
--- a/crates/hollywell/src/entry/plans.rs
+++ b/crates/hollywell/src/entry/plans.rs
@@ -20,7 +20,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::{
-    core::{plan::Plan, time::Time},
+    core::{configuration::Plan, time::Time},
     entry::{peers, shared::Shared},
 };
 
--- a/crates/hollywell/src/entry/room.rs
+++ b/crates/hollywell/src/entry/room.rs
@@ -1,6 +1,6 @@
 //! Keeps the store from being filled: adds up what it holds, trims logs, and
 //! says whether another job may be accepted. What is decided stands in
-//! [`crate::core::room`].
+//! [`crate::core::capacity`].
 
 use std::{rc::Rc, time::Duration};
 
@@ -9,8 +9,8 @@
 use crate::{
     core::{
         batch::{CLOCKS_APART_MS, Job, Submission},
+        capacity::{self, LIVE_OVERHEAD, LOG_OVERHEAD, Use},
         dispatch::owner,
-        room::{self, LIVE_OVERHEAD, LOG_OVERHEAD, Use},
     },
     entry::{
         news::{self, News},
@@ -158,7 +158,7 @@
     let full = world.room.is_full(now);
     // Jobs have followers, which would have to begin anew; texts are found by
     // their keys as well.
-    let young_ms = if at == 0 { room::LEAST_MS } else { FULL_TEXTS_MS };
+    let young_ms = if at == 0 { capacity::LEAST_MS } else { FULL_TEXTS_MS };
     let log = &world.shelves[part].logs[at];
     let mine = owner(members, &format!("trim {part}"), "") == Some(shared.me.as_str());
     let late = log.bytes(0) > most + most / 2;
--- a/crates/hollywell/src/entry/samples.rs
+++ b/crates/hollywell/src/entry/samples.rs
@@ -10,8 +10,8 @@
 use crate::{
     core::{
         batch::{self, Brief, Bundle, Sample, Submission, TextRef},
+        capacity::Use,
         dispatch::Slot,
-        room::Use,
     },
     entry::{
         shared::{Shared, TEXTS},
--- a/crates/hollywell/src/entry/serve.rs
+++ b/crates/hollywell/src/entry/serve.rs
@@ -20,7 +20,8 @@
 use crate::{
     clock::Clock,
     core::{
-        choice::Sights, dispatch, ending, fleet::Fleet, group::Census, poison, room, roster::Roster,
+        capacity, choice::Sights, dispatch, ending, fleet::Fleet, group::Census, poison,
+        roster::Roster,
     },
     entry::{
         self, clean,
@@ -103,10 +104,10 @@
         ending: ending::State::new(&me),
         poison: poison::State::default(),
         poison_known: false,
-        room: room::State::new(settings.store.room_bytes),
+        room: capacity::State::new(settings.store.room_bytes),
         others: std::collections::HashMap::new(),
         shelves: (0..parts).map(|_| Shelf::default()).collect(),
-        models: crate::core::roll::Models::default(),
+        models: crate::core::weight_loading::Models::default(),
         texts: std::collections::HashMap::new(),
         bundles: std::collections::HashMap::new(),
         runs: std::collections::HashMap::new(),
--- a/crates/hollywell/src/entry/shared.rs
+++ b/crates/hollywell/src/entry/shared.rs
@@ -18,18 +18,18 @@
     clock::Clock,
     core::{
         batch::{self, Book, Bundle, Change, Record, Written},
+        capacity,
         choice::Sights,
+        configuration::{Plan, Repeat},
         dispatch::{self, Effect, Event, Run, Slot, Work},
         ending,
         fleet::{Announcement, Fleet},
         group::Census,
-        plan::{Plan, Repeat},
         poison,
-        roll::Models,
-        room,
         roster::Roster,
         time::Time,
         turn::Turns,
+        weight_loading::Models,
     },
     entry::{
         carry, clean,
@@ -73,7 +73,7 @@
     /// The jobs.
     pub book: Book,
     /// The logs of jobs and of texts.
-    pub logs: [room::Log; 2],
+    pub logs: [capacity::Log; 2],
     /// The offset to read next.
     pub next: u64,
     /// The partition was read from its beginning.
@@ -128,9 +128,9 @@
     /// What others know against requests was read.
     pub poison_known: bool,
     /// What is known of the store's room.
-    pub room: room::State,
+    pub room: capacity::State,
     /// Logs that others write to: the operator, the targets, all instances.
-    pub others: HashMap<Part, room::Log>,
+    pub others: HashMap<Part, capacity::Log>,
     /// Batch jobs, by partition.
     pub shelves: Vec<Shelf>,
     /// Newest weights of each model, and how much of it is asked for.
@@ -381,7 +381,7 @@
     pub fn read_of(&self, part: &Part, read: &Records) {
         let bytes = |record: &Record| {
             (record.key.len() + record.value.as_ref().map_or(0, Bytes::len)) as u64
-                + room::LOG_OVERHEAD
+                + capacity::LOG_OVERHEAD
         };
         let written = read.records.iter().map(bytes).sum();
         let last = read.records.last().map_or(0, |record| record.offset + 1);
--- a/crates/hollywell/src/entry/store.rs
+++ b/crates/hollywell/src/entry/store.rs
@@ -10,8 +10,8 @@
 
 use crate::core::{
     batch::Record,
+    capacity::{LIVE_OVERHEAD, LOG_OVERHEAD, Use},
     group::Listing,
-    room::{LIVE_OVERHEAD, LOG_OVERHEAD, Use},
 };
 
 /// A future that stays on its thread.
--- a/crates/hollywell/src/entry/suspects.rs
+++ b/crates/hollywell/src/entry/suspects.rs
@@ -12,10 +12,10 @@
 
 use crate::{
     core::{
+        capacity::Use,
         dispatch,
         fleet::Announcement,
         poison::{self, Digest, Verdict},
-        room::Use,
         time::Time,
     },
     entry::{
--- a/crates/hollywell/src/entry/usage.rs
+++ b/crates/hollywell/src/entry/usage.rs
@@ -14,7 +14,7 @@
 
 use crate::{
     core::{
-        room::Use,
+        capacity::Use,
         usage::{self, Day, Tally},
     },
     entry::{
--- a/crates/hollywell/tests/hold.rs
+++ b/crates/hollywell/tests/hold.rs
@@ -1,6 +1,6 @@
 //! Requests that no target can take: which are held, which are rejected.
 
-use hollywell::core::hold::{Next, Sight, next};
+use hollywell::core::admission::{Next, Sight, next};
 
 /// What is known in the load patterns below, where nothing else is said.
 const FULL: Sight = Sight { known: true, usable: 4, usual_ms: Some(40), left_ms: 800 };
--- a/crates/hollywell/tests/roll.rs
+++ b/crates/hollywell/tests/roll.rs
@@ -5,8 +5,8 @@
 use hollywell::core::{
     choice::Sights,
     fleet::{Announcement, Fleet},
-    roll::{Models, State, Step, is_due},
     time::Time,
+    weight_loading::{Models, State, Step, is_due},
 };
 
 fn fleet(engines: usize, models: &[&str], version: u64) -> Fleet {
--- a/crates/hollywell/tests/spare.rs
+++ b/crates/hollywell/tests/spare.rs
@@ -8,7 +8,7 @@
         Book, Brief, Head, Keys, Outcome, Partial, Record, Spare, Terms, TextRef, bundle_key,
         end_record, head_record, outcome_record, partial_record, partial_text_key, text_key,
     },
-    room::{Log, State, Use},
+    capacity::{Log, State, Use},
     time::Time,
 };
 
