--- a/crates/hollywell/src/core/admission.rs
+++ b/crates/hollywell/src/core/admission.rs
@@ -15,7 +15,7 @@
 
 /// What is known when no target can take a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Sight {
+pub struct Situation {
     /// The targets were read at least once.
     pub known: bool,
     /// Targets of the pool that take new work, if they have room.
@@ -29,7 +29,7 @@
 
 /// What becomes of the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Next {
+pub enum Decision {
     /// It is held; what is known may change in a moment.
     Hold,
     /// It cannot be answered in time; when to come back, in milliseconds.
@@ -41,23 +41,23 @@
 /// # Example
 ///
 /// ```
-/// use hollywell::core::admission::{Next, Sight, next};
+/// use hollywell::core::admission::{Decision, Situation, decide};
 ///
-/// let full = Sight { known: true, usable: 4, usual_ms: Some(40), left_ms: 500 };
-/// assert_eq!(next(full), Next::Hold);
+/// let full = Situation { known: true, usable: 4, usual_ms: Some(40), left_ms: 500 };
+/// assert_eq!(decide(full), Decision::Hold);
 /// // Its place would come too late.
-/// assert_eq!(next(Sight { left_ms: 30, ..full }), Next::Reject(40));
+/// assert_eq!(decide(Situation { left_ms: 30, ..full }), Decision::Reject(40));
 /// // However much time is left, nobody is there to answer.
-/// assert_eq!(next(Sight { usable: 0, ..full }), Next::Reject(300));
+/// assert_eq!(decide(Situation { usable: 0, ..full }), Decision::Reject(300));
 /// ```
 #[must_use]
-pub fn next(sight: Sight) -> Next {
-    let usual_ms = sight.usual_ms.unwrap_or(0);
-    if sight.known && sight.usable == 0 {
-        return Next::Reject(ANNOUNCED_MS);
+pub fn decide(situation: Situation) -> Decision {
+    let usual_ms = situation.usual_ms.unwrap_or(0);
+    if situation.known && situation.usable == 0 {
+        return Decision::Reject(ANNOUNCED_MS);
     }
-    if sight.left_ms <= usual_ms {
-        return Next::Reject(usual_ms);
+    if situation.left_ms <= usual_ms {
+        return Decision::Reject(usual_ms);
     }
-    Next::Hold
+    Decision::Hold
 }
--- a/crates/hollywell/src/core/capacity.rs
+++ b/crates/hollywell/src/core/capacity.rs
@@ -55,15 +55,17 @@
 /// What an append is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Use {
+pub enum Purpose {
     /// A job's end.
     End,
     /// Records that nothing needs any more are dropped.
-    Drop,
+    #[serde(rename = "drop")]
+    Delete,
     /// A claim of the lease on orders.
     Claim,
     /// News for the other instances.
-    News,
+    #[serde(rename = "news")]
+    Hint,
     /// What is known against a request.
     Suspect,
     /// What an instance counted, and what was decided of it.
@@ -73,37 +75,39 @@
     /// A sample's whole text.
     Text,
     /// A sample's unfinished text, and the note of it.
-    Unfinished,
+    #[serde(rename = "unfinished")]
+    PartialText,
     /// A job's head: from then on it is accepted.
-    Head,
+    #[serde(rename = "head")]
+    Manifest,
     /// The requests of a job's samples.
     Requests,
 }
 
-impl Use {
+impl Purpose {
     /// Its name in logs and metrics.
     ///
     /// # Example
     ///
     /// ```
-    /// use hollywell::core::capacity::Use;
+    /// use hollywell::core::capacity::Purpose;
     ///
-    /// assert_eq!(Use::Unfinished.as_str(), "unfinished");
+    /// assert_eq!(Purpose::PartialText.as_str(), "unfinished");
     /// ```
     #[must_use]
     pub const fn as_str(self) -> &'static str {
         match self {
-            Use::End => "end",
-            Use::Drop => "drop",
-            Use::Claim => "claim",
-            Use::News => "news",
-            Use::Suspect => "suspect",
-            Use::Usage => "usage",
-            Use::Outcome => "outcome",
-            Use::Text => "text",
-            Use::Unfinished => "unfinished",
-            Use::Head => "head",
-            Use::Requests => "requests",
+            Purpose::End => "end",
+            Purpose::Delete => "drop",
+            Purpose::Claim => "claim",
+            Purpose::Hint => "news",
+            Purpose::Suspect => "suspect",
+            Purpose::Usage => "usage",
+            Purpose::Outcome => "outcome",
+            Purpose::Text => "text",
+            Purpose::PartialText => "unfinished",
+            Purpose::Manifest => "head",
+            Purpose::Requests => "requests",
         }
     }
 
@@ -111,17 +115,17 @@
     /// wait. What others need to go on, and what frees room, goes on longest.
     const fn share(self) -> f64 {
         match self {
-            Use::End | Use::Drop => f64::INFINITY,
-            Use::Claim | Use::News | Use::Suspect | Use::Usage => 0.97,
-            Use::Outcome | Use::Text => 0.94,
-            Use::Unfinished => 0.8,
-            Use::Head | Use::Requests => 0.75,
+            Purpose::End | Purpose::Delete => f64::INFINITY,
+            Purpose::Claim | Purpose::Hint | Purpose::Suspect | Purpose::Usage => 0.97,
+            Purpose::Outcome | Purpose::Text => 0.94,
+            Purpose::PartialText => 0.8,
+            Purpose::Manifest | Purpose::Requests => 0.75,
         }
     }
 
     /// Whether it may wait or be left out at no loss of what was promised.
     const fn may_wait(self) -> bool {
-        matches!(self, Use::Unfinished | Use::Head | Use::Requests)
+        matches!(self, Purpose::PartialText | Purpose::Manifest | Purpose::Requests)
     }
 }
 
@@ -228,22 +232,22 @@
 ///
 /// ```
 /// use hollywell::core::{
-///     capacity::{State, Use},
+///     capacity::{State, Purpose},
 ///     time::Time,
 /// };
 ///
 /// let mut state = State::new(1_000_000);
 /// let (now, next_drop) = (Time(0), None);
 /// state.seen(now, 500_000, 100_000, 50_000);
-/// assert!(state.allows(now, Use::Text, 1_000));
+/// assert!(state.allows(now, Purpose::Text, 1_000));
 /// assert!(state.admit(now, 40_000, next_drop).is_ok());
 /// // What is kept, what is to come and this job exceed 600 KB.
 /// assert!(state.admit(now, 60_000, next_drop).is_err());
 /// // The store's own word counts for more than any sum.
 /// state.refused(now);
 /// assert!(state.admit(now, 1, next_drop).is_err());
-/// assert!(!state.allows(now, Use::Unfinished, 1_000));
-/// assert!(state.allows(now, Use::End, 1_000_000));
+/// assert!(!state.allows(now, Purpose::PartialText, 1_000));
+/// assert!(state.allows(now, Purpose::End, 1_000_000));
 /// ```
 #[derive(Clone, Debug)]
 pub struct State {
@@ -319,7 +323,7 @@
     /// Whether an append of some use, which adds so many bytes to what the
     /// store holds, should be made now.
     #[must_use]
-    pub fn allows(&self, now: Time, purpose: Use, bytes: u64) -> bool {
+    pub fn allows(&self, now: Time, purpose: Purpose, bytes: u64) -> bool {
         let waits = purpose.may_wait() && self.is_full(now);
         let then = self.used().saturating_add(bytes);
         !waits && (then as f64) < self.room as f64 * purpose.share()
@@ -338,6 +342,6 @@
             return Err(next_drop_ms.unwrap_or(least).clamp(least, most));
         }
         // Else it is logs that take the room, which are trimmed each second.
-        if self.allows(now, Use::Head, bytes) { Ok(()) } else { Err(least) }
+        if self.allows(now, Purpose::Manifest, bytes) { Ok(()) } else { Err(least) }
     }
 }
--- a/crates/hollywell/src/core/choice.rs
+++ b/crates/hollywell/src/core/choice.rs
@@ -74,7 +74,7 @@
 
 /// What was seen of one target.
 #[derive(Clone, Debug, Default)]
-pub struct Sight {
+pub struct Observation {
     /// Requests of this instance that are at the target.
     pub mine: u32,
     others: u32,
@@ -98,89 +98,89 @@
 
 /// What was seen of all targets, by id.
 #[derive(Clone, Debug, Default)]
-pub struct Sights {
-    targets: BTreeMap<String, Sight>,
+pub struct Observations {
+    targets: BTreeMap<String, Observation>,
     usual_others: f64,
 }
 
-impl Sights {
+impl Observations {
     /// What was seen of a target.
     #[must_use]
-    pub fn of(&self, id: &str) -> Option<&Sight> {
+    pub fn of(&self, id: &str) -> Option<&Observation> {
         self.targets.get(id)
     }
 
-    fn at(&mut self, id: &str) -> &mut Sight {
+    fn at(&mut self, id: &str) -> &mut Observation {
         if !self.targets.contains_key(id) {
-            self.targets.insert(id.to_owned(), Sight::default());
+            self.targets.insert(id.to_owned(), Observation::default());
         }
         self.targets.entry(id.to_owned()).or_default()
     }
 
     /// Notes that a request went to a target.
     pub fn sent(&mut self, id: &str) {
-        let sight = self.at(id);
-        sight.mine += 1;
-        sight.open = sight.open.max(sight.mine);
+        let observation = self.at(id);
+        observation.mine += 1;
+        observation.open = observation.open.max(observation.mine);
     }
 
     /// Notes that a request at a target ended.
     pub fn ended(&mut self, now: Time, id: &str) {
-        let sight = self.at(id);
-        sight.mine = sight.mine.saturating_sub(1);
-        sight.ended_at = now;
+        let observation = self.at(id);
+        observation.mine = observation.mine.saturating_sub(1);
+        observation.ended_at = now;
     }
 
     /// Notes that a request's connection was closed with it.
     pub fn closed(&mut self, id: &str) {
-        let sight = self.at(id);
-        sight.open = sight.open.saturating_sub(1);
+        let observation = self.at(id);
+        observation.open = observation.open.saturating_sub(1);
     }
 
     /// Whether a connection to a target is probably open and idle.
     fn has_connection(&self, now: Time, id: &str) -> bool {
-        self.targets.get(id).is_some_and(|sight| {
-            sight.mine < sight.open && now.since(sight.ended_at) < CONNECTION_MS
+        self.targets.get(id).is_some_and(|observation| {
+            observation.mine < observation.open && now.since(observation.ended_at) < CONNECTION_MS
         })
     }
 
     /// Forgets what was seen of a target that has started again, but for this
     /// instance's own requests, whose ends are still to be noted.
     pub fn forget(&mut self, id: &str) {
-        if let Some(sight) = self.targets.get_mut(id) {
-            *sight = Sight { mine: sight.mine, ..Sight::default() };
+        if let Some(observation) = self.targets.get_mut(id) {
+            *observation = Observation { mine: observation.mine, ..Observation::default() };
         }
     }
 
     /// Notes the load that came with an answer.
     pub fn load(&mut self, now: Time, id: &str, load: Load) {
-        let sight = self.at(id);
-        sight.others = (load.running + load.waiting).saturating_sub(sight.mine);
-        sight.others_at = now;
-        sight.heard_at = now;
+        let observation = self.at(id);
+        observation.others = (load.running + load.waiting).saturating_sub(observation.mine);
+        observation.others_at = now;
+        observation.heard_at = now;
     }
 
     /// Notes that a target works.
     pub fn sound(&mut self, now: Time, id: &str) {
-        let sight = self.at(id);
-        sight.broken = 0;
-        sight.full = 0;
-        sight.avoid_until = Time(0);
-        sight.heard_at = now;
+        let observation = self.at(id);
+        observation.broken = 0;
+        observation.full = 0;
+        observation.avoid_until = Time(0);
+        observation.heard_at = now;
     }
 
     /// Notes that a target had no room.
     pub fn full(&mut self, now: Time, id: &str) {
-        let sight = self.at(id);
-        let wait_ms = FULL_MS << sight.full.min(FULL_DOUBLINGS);
-        sight.full += 1;
-        sight.avoid_until = sight.avoid_until.max(now.after(wait_ms));
+        let observation = self.at(id);
+        let wait_ms = FULL_MS << observation.full.min(FULL_DOUBLINGS);
+        observation.full += 1;
+        observation.avoid_until = observation.avoid_until.max(now.after(wait_ms));
     }
 
     /// Notes that a target's streams stand still.
     pub fn stalled(&mut self, now: Time, id: &str) {
-        let sight = self.at(id);
-        sight.avoid_until = sight.avoid_until.max(now.after(STALLED_MS));
+        let observation = self.at(id);
+        observation.avoid_until = observation.avoid_until.max(now.after(STALLED_MS));
     }
 
     /// Notes how many requests of others to expect at a target of which no
@@ -192,60 +192,62 @@
     /// Notes that an exchange with a target broke; it is avoided for longer
     /// each time.
     pub fn broke(&mut self, now: Time, id: &str) {
-        let sight = self.at(id);
-        sight.broken += 1;
-        let factor = u64::from(sight.broken.min(4));
-        sight.avoid_until = now.after(AVOID_MS * factor);
+        let observation = self.at(id);
+        observation.broken += 1;
+        let factor = u64::from(observation.broken.min(4));
+        observation.avoid_until = now.after(AVOID_MS * factor);
     }
 
     /// Notes the time between two events of a target's stream.
     pub fn pace(&mut self, id: &str, gap_ms: f64) {
-        let sight = self.at(id);
-        sight.pace_ms = Some(moving_mean(sight.pace_ms, gap_ms));
+        let observation = self.at(id);
+        observation.pace_ms = Some(moving_mean(observation.pace_ms, gap_ms));
     }
 
     /// Notes how long a plain request's whole answer took.
     pub fn answered(&mut self, id: &str, took_ms: u64) {
-        let sight = self.at(id);
-        sight.answer_ms = Some(moving_mean(sight.answer_ms, took_ms as f64));
+        let observation = self.at(id);
+        observation.answer_ms = Some(moving_mean(observation.answer_ms, took_ms as f64));
     }
 
     /// Whether a target is avoided now.
     #[must_use]
     pub fn avoided(&self, now: Time, id: &str) -> bool {
-        self.targets.get(id).is_some_and(|sight| now < sight.avoid_until)
+        self.targets.get(id).is_some_and(|observation| now < observation.avoid_until)
     }
 
     /// Whether an exchange with a target broke a moment ago, and none went
     /// well since.
     #[must_use]
     pub fn is_broken(&self, now: Time, id: &str) -> bool {
-        self.targets.get(id).is_some_and(|sight| sight.broken > 0 && now < sight.avoid_until)
+        self.targets
+            .get(id)
+            .is_some_and(|observation| observation.broken > 0 && now < observation.avoid_until)
     }
 
     /// Requests believed to be at a target, everybody's.
     #[must_use]
     pub fn load_of(&self, now: Time, id: &str) -> f64 {
-        let Some(sight) = self.targets.get(id) else {
+        let Some(observation) = self.targets.get(id) else {
             return self.usual_others;
         };
-        let age = now.since(sight.others_at).min(LOAD_FADES_MS);
+        let age = now.since(observation.others_at).min(LOAD_FADES_MS);
         let fresh = 1.0 - age as f64 / LOAD_FADES_MS as f64;
-        let others = f64::from(sight.others) * fresh + self.usual_others * (1.0 - fresh);
-        f64::from(sight.mine) + others
+        let others = f64::from(observation.others) * fresh + self.usual_others * (1.0 - fresh);
+        f64::from(observation.mine) + others
     }
 
     fn mine_at(&self, id: &str) -> f64 {
-        self.targets.get(id).map_or(0.0, |sight| f64::from(sight.mine))
+        self.targets.get(id).map_or(0.0, |observation| f64::from(observation.mine))
     }
 
     /// Whether a target reported a free place a moment ago.
     fn has_room(&self, now: Time, target: &Announcement) -> bool {
-        let Some(sight) = self.targets.get(&target.id) else {
+        let Some(observation) = self.targets.get(&target.id) else {
             return false;
         };
-        let load = f64::from(sight.mine + sight.others);
-        now.since(sight.others_at) < ROOM_MS && load < f64::from(target.slots) * ROOM_SHARE
+        let load = f64::from(observation.mine + observation.others);
+        now.since(observation.others_at) < ROOM_MS && load < f64::from(target.slots) * ROOM_SHARE
     }
 
     /// Median pace over targets whose pace is known, in milliseconds.
@@ -260,7 +262,7 @@
     /// milliseconds an event.
     #[must_use]
     pub fn pace_of(&self, id: &str) -> f64 {
-        let known = self.targets.get(id).and_then(|sight| sight.pace_ms);
+        let known = self.targets.get(id).and_then(|observation| observation.pace_ms);
         known.or_else(|| self.median_pace()).unwrap_or(UNKNOWN_PACE_MS)
     }
 
@@ -275,7 +277,7 @@
     /// # Example
     ///
     /// ```
-    /// use hollywell::core::{choice::{Need, Sights}, fleet::Announcement, time::Time};
+    /// use hollywell::core::{choice::{Need, Observations}, fleet::Announcement, time::Time};
     ///
     /// let target = |id: &str| Announcement {
     ///     id: id.into(), pool: "wadi-gen".into(), address: ([127, 0, 0, 1], 80).into(),
@@ -284,13 +286,13 @@
     /// };
     /// let (a, b) = (target("a"), target("b"));
     /// let need = Need { events: 20.0, most_load: 1.0, sharers: 1.0, salt: 0 };
-    /// let mut sights = Sights::default();
-    /// sights.sent("a");
-    /// let pick = sights.choose(Time(5), [&a, &b].into_iter(), need);
+    /// let mut observations = Observations::default();
+    /// observations.sent("a");
+    /// let pick = observations.choose(Time(5), [&a, &b].into_iter(), need);
     /// assert_eq!(pick.unwrap().id, "b");
     /// // With both full there is no choice, not the lesser evil.
-    /// sights.sent("b");
-    /// assert!(sights.choose(Time(5), [&a, &b].into_iter(), need).is_none());
+    /// observations.sent("b");
+    /// assert!(observations.choose(Time(5), [&a, &b].into_iter(), need).is_none());
     /// ```
     #[must_use]
     pub fn choose<'a>(
@@ -311,7 +313,8 @@
                 return None;
             }
             let cold = if target.cold { 2.0 } else { 1.0 };
-            let pace = self.of(&target.id).and_then(|sight| sight.pace_ms).unwrap_or(median);
+            let pace =
+                self.of(&target.id).and_then(|observation| observation.pace_ms).unwrap_or(median);
             let run = need.events * pace * cold * (1.0 + SLOT_SLOWS * load);
             // A place comes free each time one of its requests ends.
             let queue = (load + 1.0 - slots).max(0.0) / slots * USUAL_EVENTS * pace;
--- a/crates/hollywell/src/core/configuration.rs
+++ b/crates/hollywell/src/core/configuration.rs
@@ -72,7 +72,7 @@
 
 /// A whole configuration.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Plan {
+pub struct Configuration {
     /// Its version; larger is newer, with gaps.
     pub version: u64,
     /// All routes.
@@ -89,14 +89,14 @@
     pub header_ms: u64,
 }
 
-impl Plan {
+impl Configuration {
     /// The route of a request: of those with its host, the one with the
     /// longest prefix that its path begins with.
     ///
     /// # Example
     ///
     /// ```
-    /// use hollywell::core::configuration::{Plan, Repeat, Route};
+    /// use hollywell::core::configuration::{Configuration, Repeat, Route};
     ///
     /// let route = |name: &str, prefix: &str| Route {
     ///     name: name.into(), host: "h".into(), prefix: prefix.into(),
@@ -104,9 +104,9 @@
     ///     pools: vec![], attempts: 2, due_ms: 0, keep_ms: 0,
     ///     single_version: false, resumable: false, public: false,
     /// };
-    /// let plan = Plan {
+    /// let plan = Configuration {
     ///     routes: vec![route("wide", "/a/"), route("narrow", "/a/b/")],
-    ///     ..Plan::default()
+    ///     ..Configuration::default()
     /// };
     /// assert_eq!(plan.route("h", "/a/b/c").unwrap().name, "narrow");
     /// // A prefix ends with its slash: "/a" is not below "/a/".
--- a/crates/hollywell/src/core/dispatch/leave.rs
+++ b/crates/hollywell/src/core/dispatch/leave.rs
@@ -11,7 +11,7 @@
     locality::{self, Who},
 };
 use crate::core::{
-    choice::{Need, Sights},
+    choice::{Need, Observations},
     fleet::Fleet,
     time::Time,
 };
@@ -56,16 +56,16 @@
         &mut self,
         now: Time,
         fleet: &Fleet,
-        sights: &mut Sights,
+        observations: &mut Observations,
         effects: &mut Vec<Effect>,
     ) {
-        self.expect(now, fleet, sights);
-        self.look_around(now, fleet, sights);
+        self.expect(now, fleet, observations);
+        self.look_around(now, fleet, observations);
         let mut runs: Vec<Run> = self.runs.keys().copied().collect();
         runs.sort();
         for run in runs {
-            if let Some(why) = self.judge(now, run, fleet, sights) {
-                self.move_away(now, run, why, sights, effects);
+            if let Some(why) = self.judge(now, run, fleet, observations) {
+                self.move_away(now, run, why, observations, effects);
             }
         }
         self.give_up(now, effects);
@@ -73,7 +73,7 @@
 
     /// What the other instances probably have at each engine: as much as
     /// this one, since groups are dealt out evenly.
-    fn expect(&mut self, now: Time, fleet: &Fleet, sights: &mut Sights) {
+    fn expect(&mut self, now: Time, fleet: &Fleet, observations: &mut Observations) {
         let is_kept = |(at, targets): &(Time, usize)| {
             now.since(*at) < COUNT_MS && *targets > 0 && !locality::is_small(fleet)
         };
@@ -84,24 +84,30 @@
         });
         self.targets = Some((at, targets));
         let others = self.members.len().saturating_sub(1) * self.runs.len();
-        sights.expect_others(others as f64 / targets.max(1) as f64);
+        observations.expect_others(others as f64 / targets.max(1) as f64);
     }
 
     /// Keeps the targets that are looked at up to date where samples run.
-    fn look_around(&mut self, now: Time, fleet: &Fleet, sights: &Sights) {
+    fn look_around(&mut self, now: Time, fleet: &Fleet, observations: &Observations) {
         let salt = xxhash_rust::xxh3::xxh3_64(self.me.as_bytes());
         for open in self.jobs.values_mut() {
             let runs = |progress: &&Progress| matches!(progress.stage, Stage::Running(_));
             let samples = open.progress.iter().filter(runs).count();
             if samples > 0 {
                 let who = Who { salt, domain: &self.domain, samples };
-                open.near.renew(now, who, &open.work, fleet, sights);
+                open.locality.renew(now, who, &open.work, fleet, observations);
             }
         }
     }
 
     /// Whether a run should leave its target, and why.
-    fn judge(&self, now: Time, run: Run, fleet: &Fleet, sights: &Sights) -> Option<Leave> {
+    fn judge(
+        &self,
+        now: Time,
+        run: Run,
+        fleet: &Fleet,
+        observations: &Observations,
+    ) -> Option<Leave> {
         let running = self.runs.get(&run)?;
         let silent_ms = now.since(running.heard_at);
         let patience_ms = if running.head { SILENCE_MS } else { QUEUED_MOST_MS };
@@ -119,17 +125,17 @@
         if !self.may_begin(&running.slot) {
             return None;
         }
-        let pace = sights.pace_of(&running.target);
+        let pace = observations.pace_of(&running.target);
         let stall_ms =
             if running.head { STALL_MS.max((pace * STALL_PACES) as u64) } else { QUEUED_MS };
-        if silent_ms > stall_ms && self.free_place(now, running, fleet, sights).is_some() {
+        if silent_ms > stall_ms && self.free_place(now, running, fleet, observations).is_some() {
             return Some(Leave::Stalled);
         }
         if running.events < MOVE_LEAST_EVENTS {
             return None;
         }
-        let faster = self.free_place(now, running, fleet, sights)?;
-        let there = sights.pace_of(&faster);
+        let faster = self.free_place(now, running, fleet, observations)?;
+        let there = observations.pace_of(&faster);
         let gain = self.events_left(running) * (pace - there);
         (gain > MOVE_GAIN_MS && pace > there * MOVE_SLOWER).then_some(Leave::Slow)
     }
@@ -148,18 +154,18 @@
         now: Time,
         running: &Running,
         fleet: &Fleet,
-        sights: &Sights,
+        observations: &Observations,
     ) -> Option<String> {
         let open = self.jobs.get(&running.slot.job)?;
         let work = &open.work;
         let events = self.events_left(running);
         let sharers = self.members.len() as f64;
         let need = Need { events, most_load: FREE_LOAD, sharers, salt: 0 };
-        let targets = open.near.targets(work, fleet).into_iter();
+        let targets = open.locality.targets(work, fleet).into_iter();
         let targets = targets
             .filter(|said| said.id != running.target)
             .filter(|said| said.versions.get(&work.model) >= Some(&work.min_version));
-        sights.choose(now, targets, need).map(|target| target.id.clone())
+        observations.choose(now, targets, need).map(|target| target.id.clone())
     }
 
     /// Events that a run is expected to take still.
@@ -177,18 +183,18 @@
         now: Time,
         run: Run,
         why: Leave,
-        sights: &mut Sights,
+        observations: &mut Observations,
         effects: &mut Vec<Effect>,
     ) {
         let Some(running) = self.runs.get(&run).cloned() else {
             return;
         };
         match why {
-            Leave::Broken => sights.broke(now, &running.target),
-            Leave::Stalled => sights.stalled(now, &running.target),
+            Leave::Broken => observations.broke(now, &running.target),
+            Leave::Stalled => observations.stalled(now, &running.target),
             Leave::Gone | Leave::Slow => {}
         }
-        self.stop(run, sights, effects);
+        self.stop(run, observations, effects);
         if let Some(open) = self.jobs.get_mut(&running.slot.job) {
             let progress = &mut open.progress[running.slot.at];
             progress.stage = Stage::Idle;
--- a/crates/hollywell/src/core/dispatch/locality.rs
+++ b/crates/hollywell/src/core/dispatch/locality.rs
@@ -10,7 +10,7 @@
 
 use super::Work;
 use crate::core::{
-    choice::Sights,
+    choice::Observations,
     fleet::{Announcement, Fleet, Target},
     time::Time,
 };
@@ -28,7 +28,7 @@
 
 /// The targets picked for a job.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Near {
+pub(super) struct Locality {
     picked_at: Option<Time>,
     ids: Vec<String>,
     is_dry: bool,
@@ -45,7 +45,7 @@
     pub samples: usize,
 }
 
-impl Near {
+impl Locality {
     /// Notes that no target picked had a place.
     pub(super) fn ran_dry(&mut self) {
         self.is_dry = true;
@@ -58,7 +58,7 @@
         who: Who<'_>,
         work: &Work,
         fleet: &Fleet,
-        sights: &Sights,
+        observations: &Observations,
     ) {
         let keep_ms = if self.is_dry { KEEP_DRY_MS } else { KEEP_MS };
         let is_kept = self.picked_at.is_some_and(|at| now.since(at) < keep_ms);
@@ -66,7 +66,8 @@
             return;
         }
         let is_fit = |target: &&Target| {
-            target.may_run(&work.model, work.min_version) && !sights.avoided(now, &target.said.id)
+            target.may_run(&work.model, work.min_version)
+                && !observations.avoided(now, &target.said.id)
         };
         let rank = |target: &Target| {
             let id = target.said.id.as_bytes();
--- a/crates/hollywell/src/core/dispatch/mod.rs
+++ b/crates/hollywell/src/core/dispatch/mod.rs
@@ -20,12 +20,12 @@
 
 use serde::{Deserialize, Serialize};
 
-use locality::{Near, Who};
+use locality::{Locality, Who};
 pub use owners::owner;
 use owners::{Change, Owners};
 
 use crate::core::{
-    choice::{Need, Sights},
+    choice::{Need, Observations},
     fleet::Fleet,
     time::Time,
 };
@@ -262,7 +262,7 @@
     /// Who runs its groups.
     owners: Owners,
     /// Targets that are looked at for them.
-    near: Near,
+    locality: Locality,
 }
 
 /// The reducer's state.
@@ -312,15 +312,15 @@
         now: Time,
         event: &Event,
         fleet: &Fleet,
-        sights: &mut Sights,
+        observations: &mut Observations,
     ) -> Vec<Effect> {
         let mut effects = Vec::new();
         self.now = now;
         match event {
-            Event::Tick => self.watch(now, fleet, sights, &mut effects),
+            Event::Tick => self.watch(now, fleet, observations, &mut effects),
             Event::Opened(work) => self.open(work.clone()),
-            Event::Listed(slot) => self.listed(slot, sights, &mut effects),
-            Event::Closed(job) => self.close(job, sights, &mut effects),
+            Event::Listed(slot) => self.listed(slot, observations, &mut effects),
+            Event::Closed(job) => self.close(job, observations, &mut effects),
             Event::Members(members) => self.members(members),
             Event::Stale { part, stale: true } => {
                 self.stale.insert(*part);
@@ -329,9 +329,9 @@
                 self.stale.remove(part);
             }
             Event::Head { run } => self.head(now, *run),
-            Event::Piece { run } => self.piece(now, *run, sights),
-            Event::Ended { run, end } => self.ended(now, *run, *end, sights, &mut effects),
-            Event::Ahead { slot, last } => self.ahead(slot, *last, sights, &mut effects),
+            Event::Piece { run } => self.piece(now, *run, observations),
+            Event::Ended { run, end } => self.ended(now, *run, *end, observations, &mut effects),
+            Event::Ahead { slot, last } => self.ahead(slot, *last, observations, &mut effects),
             Event::Scored(slot) => {
                 self.delivered(slot, Effect::Deliver(slot.clone()), &mut effects);
             }
@@ -340,7 +340,7 @@
             }
         }
         if !matches!(event, Event::Head { .. } | Event::Piece { .. }) {
-            self.start(now, fleet, sights, &mut effects);
+            self.start(now, fleet, observations, &mut effects);
         }
         effects
     }
@@ -368,18 +368,18 @@
         self.arrival.push(work.job.clone());
         self.jobs.insert(
             work.job.clone(),
-            Open { work, progress, order, owners, near: Near::default() },
+            Open { work, progress, order, owners, locality: Locality::default() },
         );
     }
 
-    fn listed(&mut self, slot: &Slot, sights: &mut Sights, effects: &mut Vec<Effect>) {
+    fn listed(&mut self, slot: &Slot, observations: &mut Observations, effects: &mut Vec<Effect>) {
         let Some(open) = self.jobs.get_mut(&slot.job) else {
             return;
         };
         let progress = &mut open.progress[slot.at];
         let stage = std::mem::replace(&mut progress.stage, Stage::Done);
         if let Stage::Running(run) = stage {
-            self.stop(run, sights, effects);
+            self.stop(run, observations, effects);
         }
         if stage != Stage::Done {
             effects.push(Effect::Discard(slot.clone()));
@@ -388,7 +388,13 @@
 
     /// Starts a run anew where another instance got further: after a change
     /// of the members two may run one sample.
-    fn ahead(&mut self, slot: &Slot, last: u32, sights: &mut Sights, effects: &mut Vec<Effect>) {
+    fn ahead(
+        &mut self,
+        slot: &Slot,
+        last: u32,
+        observations: &mut Observations,
+        effects: &mut Vec<Effect>,
+    ) {
         let Some(progress) = self.jobs.get_mut(&slot.job).map(|open| &mut open.progress[slot.at])
         else {
             return;
@@ -400,18 +406,18 @@
         if here + AHEAD_EVENTS < last {
             progress.stage = Stage::Idle;
             progress.events = last;
-            self.stop(run, sights, effects);
+            self.stop(run, observations, effects);
         }
     }
 
-    fn close(&mut self, job: &str, sights: &mut Sights, effects: &mut Vec<Effect>) {
+    fn close(&mut self, job: &str, observations: &mut Observations, effects: &mut Vec<Effect>) {
         let Some(open) = self.jobs.remove(job) else {
             return;
         };
         self.arrival.retain(|other| other != job);
         for (at, progress) in open.progress.iter().enumerate() {
             if let Stage::Running(run) = progress.stage {
-                self.stop(run, sights, effects);
+                self.stop(run, observations, effects);
             }
             if progress.stage != Stage::Done {
                 effects.push(Effect::Discard(Slot { job: job.to_owned(), at }));
@@ -437,12 +443,12 @@
         }
     }
 
-    fn piece(&mut self, now: Time, run: Run, sights: &mut Sights) {
+    fn piece(&mut self, now: Time, run: Run, observations: &mut Observations) {
         let Some(running) = self.runs.get_mut(&run) else {
             return;
         };
         if running.events > 0 {
-            sights.pace(&running.target, now.since(running.heard_at) as f64);
+            observations.pace(&running.target, now.since(running.heard_at) as f64);
         }
         running.events += 1;
         running.heard_at = now;
@@ -453,15 +459,15 @@
         now: Time,
         run: Run,
         end: End,
-        sights: &mut Sights,
+        observations: &mut Observations,
         effects: &mut Vec<Effect>,
     ) {
         let Some(running) = self.runs.remove(&run) else {
             return;
         };
-        sights.ended(now, &running.target);
+        observations.ended(now, &running.target);
         if matches!(end, End::Broken | End::Unreached | End::WrongVersion) {
-            sights.closed(&running.target);
+            observations.closed(&running.target);
         }
         let Some(open) = self.jobs.get_mut(&running.slot.job) else {
             return;
@@ -472,20 +478,20 @@
         progress.events += running.events;
         match end {
             End::Whole => {
-                sights.sound(now, &running.target);
+                observations.sound(now, &running.target);
                 progress.stage = Stage::Scoring;
                 effects.push(Effect::Score(running.slot));
             }
-            End::Full | End::Misdirected | End::Stale => sights.full(now, &running.target),
+            End::Full | End::Misdirected | End::Stale => observations.full(now, &running.target),
             End::Unready => progress.not_before = now.after(UNREADY_MS),
             End::Held => progress.not_before = now.after(HELD_MS),
             End::Broken | End::Unreached => {
-                sights.broke(now, &running.target);
+                observations.broke(now, &running.target);
                 progress.not_before = now.after(BACKOFF_MS);
             }
             End::WrongVersion => {
                 progress.events = 0;
-                sights.full(now, &running.target);
+                observations.full(now, &running.target);
                 effects.push(Effect::Discard(running.slot));
             }
             End::Failed => {
@@ -514,10 +520,10 @@
         }
     }
 
-    fn stop(&mut self, run: Run, sights: &mut Sights, effects: &mut Vec<Effect>) {
+    fn stop(&mut self, run: Run, observations: &mut Observations, effects: &mut Vec<Effect>) {
         if let Some(running) = self.runs.remove(&run) {
-            sights.ended(self.now, &running.target);
-            sights.closed(&running.target);
+            observations.ended(self.now, &running.target);
+            observations.closed(&running.target);
             effects.push(Effect::Cancel(run));
         }
     }
@@ -537,7 +543,13 @@
         }
     }
 
-    fn start(&mut self, now: Time, fleet: &Fleet, sights: &mut Sights, effects: &mut Vec<Effect>) {
+    fn start(
+        &mut self,
+        now: Time,
+        fleet: &Fleet,
+        observations: &mut Observations,
+        effects: &mut Vec<Effect>,
+    ) {
         let salt = xxhash_rust::xxh3::xxh3_64(self.me.as_bytes());
         for job in &self.arrival {
             let Some(open) = self.jobs.get_mut(job) else {
@@ -555,9 +567,9 @@
             }
             let samples = open.progress.iter().filter(|progress| progress.mine).count();
             let who = Who { salt, domain: &self.domain, samples };
-            open.near.renew(now, who, &open.work, fleet, sights);
+            open.locality.renew(now, who, &open.work, fleet, observations);
             let work = &open.work;
-            let targets = open.near.targets(work, fleet);
+            let targets = open.locality.targets(work, fleet);
             for &at in &open.order {
                 let progress = &mut open.progress[at];
                 if !is_due(progress) {
@@ -569,14 +581,14 @@
                     sharers: self.members.len() as f64,
                     salt: salt ^ self.next_run,
                 };
-                let Some(target) = sights.choose(now, targets.iter().copied(), need) else {
-                    open.near.ran_dry();
+                let Some(target) = observations.choose(now, targets.iter().copied(), need) else {
+                    open.locality.ran_dry();
                     break;
                 };
                 let run = Run(self.next_run);
                 self.next_run += 1;
                 progress.stage = Stage::Running(run);
-                sights.sent(&target.id);
+                observations.sent(&target.id);
                 let slot = Slot { job: job.clone(), at };
                 let running = Running {
                     slot: slot.clone(),
--- a/crates/hollywell/src/core/weight_loading.rs
+++ b/crates/hollywell/src/core/weight_loading.rs
@@ -27,7 +27,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::core::{
-    choice::Sights,
+    choice::Observations,
     fleet::{Fleet, Target},
     time::Time,
 };
@@ -244,7 +244,7 @@
         domain: &str,
         models: &Models,
         fleet: &Fleet,
-        sights: &Sights,
+        observations: &Observations,
     ) -> Vec<Order> {
         let engines = fleet
             .targets
@@ -266,7 +266,7 @@
                     continue;
                 }
                 let behind = version - has;
-                let load = sights.load_of(now, target) as u64;
+                let load = observations.load_of(now, target) as u64;
                 // By age alone, loads for models whose steps had places went
                 // before those for which samples waited: 0.742 of the worth
                 // was earned, in this order 0.754 (mean of 40 played days of three
--- a/crates/hollywell/src/entry/caller.rs
+++ b/crates/hollywell/src/entry/caller.rs
@@ -14,7 +14,7 @@
 
 use crate::{
     core::{
-        configuration::{Plan, Route},
+        configuration::{Configuration, Route},
         organisation::{Directory, Organisation, Stranger},
     },
     entry::{plans, shared::Shared},
@@ -76,7 +76,7 @@
 /// The route of a request, and who may use it.
 fn on_route(
     shared: &Shared,
-    plan: &Plan,
+    plan: &Configuration,
     host: &str,
     path: &str,
     headers: &HeaderMap,
@@ -96,7 +96,7 @@
 /// Who asks about a job of a host.
 fn about_job(
     shared: &Shared,
-    plan: &Plan,
+    plan: &Configuration,
     host: &str,
     headers: &HeaderMap,
 ) -> Result<Caller, Kind> {
@@ -136,7 +136,7 @@
 
 async fn decide<T>(
     shared: &Rc<Shared>,
-    judge: impl Fn(&Plan) -> Result<T, Kind>,
+    judge: impl Fn(&Configuration) -> Result<T, Kind>,
 ) -> Result<T, Kind> {
     let until = Instant::now() + WAIT;
     loop {
@@ -162,7 +162,7 @@
 }
 
 /// Whether it is so old that a key must not be taken for good any more.
-fn is_too_old(shared: &Shared, plan: &Plan) -> bool {
+fn is_too_old(shared: &Shared, plan: &Configuration) -> bool {
     let Some(revoke) = shared.settings.times.revoke else {
         return false;
     };
--- a/crates/hollywell/src/entry/clean.rs
+++ b/crates/hollywell/src/entry/clean.rs
@@ -13,7 +13,7 @@
 use crate::{
     core::{
         batch::{self, Book, Keys, Spare, Terms},
-        capacity::Use,
+        capacity::Purpose,
         dispatch::owner,
         time::Time,
     },
@@ -233,7 +233,7 @@
 async fn drop_keys(shared: &Rc<Shared>, part: &Part, keys: &[String]) -> Result<(), Fault> {
     for some in keys.chunks(AT_ONCE) {
         let records = some.iter().map(|key| (Some(key.clone()), Bytes::new())).collect();
-        let (part, purpose) = (part.clone(), Use::Drop);
+        let (part, purpose) = (part.clone(), Purpose::Delete);
         shared.append(Append { part, records, expected_end: None, purpose }).await?;
     }
     Ok(())
--- a/crates/hollywell/src/entry/dialect.rs
+++ b/crates/hollywell/src/entry/dialect.rs
@@ -10,7 +10,7 @@
 use crate::core::{
     batch::{Outcome, Submission},
     choice::Load,
-    configuration::Plan,
+    configuration::Configuration,
     fleet::Announcement,
     usage::Counts,
 };
@@ -126,7 +126,7 @@
 #[derive(Clone, Debug)]
 pub enum Wish {
     /// A whole configuration.
-    Plan(Plan),
+    Plan(Configuration),
     /// A trainer's newest weights.
     Version {
         /// The model.
--- a/crates/hollywell/src/entry/duties.rs
+++ b/crates/hollywell/src/entry/duties.rs
@@ -14,7 +14,7 @@
 
 use crate::{
     core::{
-        capacity::Use,
+        capacity::Purpose,
         roster,
         usage::{self, Ledger, Next},
     },
@@ -223,7 +223,7 @@
 /// returns whether they were taken.
 async fn write(shared: &Shared, records: Vec<(String, Bytes)>, end: u64) -> bool {
     let records = records.into_iter().map(|(key, value)| (Some(key), value)).collect();
-    let (part, purpose) = (Part::new(TOPIC, 0), Use::Usage);
+    let (part, purpose) = (Part::new(TOPIC, 0), Purpose::Usage);
     let append = Append { part, records, expected_end: Some(end), purpose };
     match shared.append(append).await {
         Ok(_) => true,
@@ -240,7 +240,7 @@
         return;
     }
     let records = keys.into_iter().map(|key| (Some(key), Bytes::new())).collect();
-    let (part, purpose) = (Part::new(counted::TOPIC, 0), Use::Drop);
+    let (part, purpose) = (Part::new(counted::TOPIC, 0), Purpose::Delete);
     if let Err(fault) = shared.append(Append { part, records, expected_end: None, purpose }).await {
         log::info!("dropping counts that were reported: {fault}");
     }
--- a/crates/hollywell/src/entry/ends.rs
+++ b/crates/hollywell/src/entry/ends.rs
@@ -12,7 +12,7 @@
 use crate::{
     core::{
         batch,
-        capacity::Use,
+        capacity::Purpose,
         ending::{Effect, Event},
     },
     entry::{
@@ -121,7 +121,7 @@
     let part = Part::at(JOBS, shared.part_of(job));
     let (key, value) = batch::end_record(job);
     let records = vec![(Some(key), value)];
-    shared.append(Append { part, records, expected_end: None, purpose: Use::End }).await
+    shared.append(Append { part, records, expected_end: None, purpose: Purpose::End }).await
 }
 
 async fn append(shared: Rc<Shared>, job: String) {
--- a/crates/hollywell/src/entry/ingress.rs
+++ b/crates/hollywell/src/entry/ingress.rs
@@ -19,7 +19,7 @@
 
 use crate::{
     core::{
-        configuration::{Plan, Repeat, Route},
+        configuration::{Configuration, Repeat, Route},
         time::Time,
     },
     entry::{
@@ -237,7 +237,7 @@
 
 /// The configuration, once it is known, and what is known against requests
 /// with it: an instance that starts must not end targets that others spare.
-fn known_plan(shared: &Shared) -> Option<Rc<Plan>> {
+fn known_plan(shared: &Shared) -> Option<Rc<Configuration>> {
     let world = shared.world.borrow();
     world.plan.clone().filter(|_| world.poison_known)
 }
@@ -294,7 +294,12 @@
     forwarded(shared, &plan, &route, &plain).await
 }
 
-async fn forwarded(shared: &Rc<Shared>, plan: &Plan, route: &Route, plain: &Plain) -> Reply200 {
+async fn forwarded(
+    shared: &Rc<Shared>,
+    plan: &Configuration,
+    route: &Route,
+    plain: &Plain,
+) -> Reply200 {
     let salt = xxhash_rust::xxh3::xxh3_64(plain.id.as_bytes());
     match forward::run(shared, route, plain, salt).await {
         Verdict::Answered(whole) => {
--- a/crates/hollywell/src/entry/jobs.rs
+++ b/crates/hollywell/src/entry/jobs.rs
@@ -17,7 +17,7 @@
 use crate::{
     core::{
         batch::{self, Head, Outcome, Sample, Submission, TextRef},
-        capacity::Use,
+        capacity::Purpose,
         dispatch::{Event, Slot},
     },
     entry::{
@@ -172,7 +172,7 @@
     there: impl Fn(&Shared) -> bool,
 ) -> Reply {
     let records = vec![(Some(key), value)];
-    let (at, purpose) = (Part::at(JOBS, part), Use::Head);
+    let (at, purpose) = (Part::at(JOBS, part), Purpose::Manifest);
     let append = Append { part: at, records, expected_end: None, purpose };
     match shared.append(append).await {
         Ok(_) => {
--- a/crates/hollywell/src/entry/lease.rs
+++ b/crates/hollywell/src/entry/lease.rs
@@ -12,7 +12,7 @@
 
 use crate::{
     core::{
-        capacity::Use,
+        capacity::Purpose,
         tenure::{Claim, Tenure, Terms},
     },
     entry::{
@@ -158,7 +158,7 @@
         let value = Bytes::from(serde_json::to_vec(&claim).unwrap_or_default());
         let expected_end = Some(self.tenure.borrow().end);
         let (part, records) = (self.part.clone(), vec![(None, value)]);
-        let append = Append { part, records, expected_end, purpose: Use::Claim };
+        let append = Append { part, records, expected_end, purpose: Purpose::Claim };
         match shared.append(append).await {
             Ok(appended) => {
                 if claim.renews.is_none() {
--- a/crates/hollywell/src/entry/news.rs
+++ b/crates/hollywell/src/entry/news.rs
@@ -9,7 +9,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::{
-    core::{capacity::Use, dispatch::Event, weight_loading::Order},
+    core::{capacity::Purpose, dispatch::Event, weight_loading::Order},
     entry::{
         follow, room,
         shared::Shared,
@@ -50,7 +50,7 @@
 pub async fn tell(shared: &Rc<Shared>, news: &News) {
     let value = serde_json::to_vec(news).unwrap_or_default();
     let records = vec![(None, value.into())];
-    let (part, purpose) = (Part::new(TOPIC, 0), Use::News);
+    let (part, purpose) = (Part::new(TOPIC, 0), Purpose::Hint);
     match shared.append(Append { part, records, expected_end: None, purpose }).await {
         Ok(_) => {}
         Err(fault) => log::info!("telling {news:?}: {fault}"),
--- a/crates/hollywell/src/entry/orders.rs
+++ b/crates/hollywell/src/entry/orders.rs
@@ -97,7 +97,7 @@
         let world = &mut *shared.world.borrow_mut();
         world.models.steps = steps(world);
         let mut roll = office.roll.borrow_mut();
-        roll.step(now, domain, &world.models, &world.fleet, &world.sights)
+        roll.step(now, domain, &world.models, &world.fleet, &world.observations)
     };
     for order in orders {
         tokio::task::spawn_local(carry_out(shared.clone(), office.clone(), order));
--- a/crates/hollywell/src/entry/outbox.rs
+++ b/crates/hollywell/src/entry/outbox.rs
@@ -18,7 +18,7 @@
 use crate::{
     core::{
         batch::{self, Outcome, Partial, TextRef},
-        capacity::Use,
+        capacity::Purpose,
         dispatch::Slot,
     },
     entry::{
@@ -113,7 +113,7 @@
     };
     let keyed: Vec<(String, Bytes)> = waiting.iter().map(record).collect();
     let records = keyed.iter().map(|(key, text)| (Some(key.clone()), text.clone())).collect();
-    let (at, purpose) = (Part::at(TEXTS, part), Use::Text);
+    let (at, purpose) = (Part::at(TEXTS, part), Purpose::Text);
     let append = Append { part: at, records, expected_end: None, purpose };
     let appended = shared.append(append).await;
     if matches!(appended, Err(Fault::Unknown(_))) {
@@ -139,7 +139,7 @@
         let (key, value) = batch::outcome_record(&slot.job, &shared.unique(), outcome);
         records.push((Some(key), value));
     }
-    let (at, purpose) = (Part::at(JOBS, part), Use::Outcome);
+    let (at, purpose) = (Part::at(JOBS, part), Purpose::Outcome);
     let append = Append { part: at, records, expected_end: None, purpose };
     let appended = shared.append(append).await?;
     for (Entry { slot, outcome, .. }, offset) in taken.iter().zip(appended.offset..) {
@@ -235,7 +235,7 @@
     let keys: Vec<String> = grown.iter().map(key).collect();
     let records = keys.iter().zip(grown);
     let records = records.map(|(key, grown)| (Some(key.clone()), grown.piece.clone())).collect();
-    let (at, purpose) = (Part::at(TEXTS, part), Use::Unfinished);
+    let (at, purpose) = (Part::at(TEXTS, part), Purpose::PartialText);
     let append = Append { part: at, records, expected_end: None, purpose };
     let appended = shared.append(append).await;
     if matches!(appended, Err(Fault::Unknown(_))) {
--- a/crates/hollywell/src/entry/plans.rs
+++ b/crates/hollywell/src/entry/plans.rs
@@ -20,7 +20,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::{
-    core::{configuration::Plan, time::Time},
+    core::{configuration::Configuration, time::Time},
     entry::{peers, shared::Shared},
 };
 
@@ -46,7 +46,7 @@
     /// The configuration's version.
     version: u64,
     /// The configuration, if it is newer than the asker's.
-    plan: Option<Plan>,
+    plan: Option<Configuration>,
     /// Newest weights of each model.
     named: BTreeMap<String, u64>,
     /// Failure domains that are evacuated; `None` from a peer that does not
@@ -56,7 +56,7 @@
 }
 
 /// Puts a configuration in force, if it is newer.
-pub(super) fn take(shared: &Shared, plan: Plan, from: &str) {
+pub(super) fn take(shared: &Shared, plan: Configuration, from: &str) {
     let mut world = shared.world.borrow_mut();
     let before = world.plan.as_ref().map_or(0, |plan| plan.version);
     if plan.version > before {
--- a/crates/hollywell/src/entry/room.rs
+++ b/crates/hollywell/src/entry/room.rs
@@ -9,7 +9,7 @@
 use crate::{
     core::{
         batch::{CLOCKS_APART_MS, Job, Submission},
-        capacity::{self, LIVE_OVERHEAD, LOG_OVERHEAD, Use},
+        capacity::{self, LIVE_OVERHEAD, LOG_OVERHEAD, Purpose},
         dispatch::owner,
     },
     entry::{
@@ -86,7 +86,7 @@
 fn tell(shared: &Shared, tight: &mut bool) {
     let now = shared.now();
     let world = shared.world.borrow();
-    let allowed = world.room.allows(now, Use::Head, 0);
+    let allowed = world.room.allows(now, Purpose::Manifest, 0);
     if *tight == allowed {
         *tight = !allowed;
         let (used, room) = (world.room.used(), world.room.room());
--- a/crates/hollywell/src/entry/run.rs
+++ b/crates/hollywell/src/entry/run.rs
@@ -206,7 +206,7 @@
     let headers = &shared.dialect.headers;
     if let Some(load) = answer.header(&headers.load).and_then(shared.dialect.load) {
         let now = shared.now();
-        shared.world.borrow_mut().sights.load(now, &target.id, load);
+        shared.world.borrow_mut().observations.load(now, &target.id, load);
     }
     match answer.head.status {
         StatusCode::OK => stream(shared, run, slot, target, digest, answer).await,
--- a/crates/hollywell/src/entry/samples.rs
+++ b/crates/hollywell/src/entry/samples.rs
@@ -10,7 +10,7 @@
 use crate::{
     core::{
         batch::{self, Brief, Bundle, Sample, Submission, TextRef},
-        capacity::Use,
+        capacity::Purpose,
         dispatch::Slot,
     },
     entry::{
@@ -113,7 +113,7 @@
         return Ok(());
     }
     let part = Part::new(TEXTS, number);
-    let purpose = Use::Requests;
+    let purpose = Purpose::Requests;
     let append = Append { part, records: records.clone(), expected_end: None, purpose };
     let mut tries = 1;
     let first = loop {
--- a/crates/hollywell/src/entry/serve.rs
+++ b/crates/hollywell/src/entry/serve.rs
@@ -20,7 +20,7 @@
 use crate::{
     clock::Clock,
     core::{
-        capacity, choice::Sights, dispatch, ending, fleet::Fleet, group::Census, poison,
+        capacity, choice::Observations, dispatch, ending, fleet::Fleet, group::Census, poison,
         roster::Roster,
     },
     entry::{
@@ -99,7 +99,7 @@
         plan: None,
         plan_at: None,
         fleet: Fleet::default(),
-        sights: Sights::default(),
+        observations: Observations::default(),
         dispatch: dispatch::State::new(&me).within(&settings.domain),
         ending: ending::State::new(&me),
         poison: poison::State::default(),
--- a/crates/hollywell/src/entry/shared.rs
+++ b/crates/hollywell/src/entry/shared.rs
@@ -19,8 +19,8 @@
     core::{
         batch::{self, Book, Bundle, Change, Record, Written},
         capacity,
-        choice::Sights,
-        configuration::{Plan, Repeat},
+        choice::Observations,
+        configuration::{Configuration, Repeat},
         dispatch::{self, Effect, Event, Run, Slot, Work},
         ending,
         fleet::{Announcement, Fleet},
@@ -111,14 +111,14 @@
 #[derive(Debug)]
 pub struct World {
     /// The configuration in force, once one was read.
-    pub plan: Option<Rc<Plan>>,
+    pub plan: Option<Rc<Configuration>>,
     /// When the operator's topic was as this instance knows it; `None` before
     /// it was read.
     pub plan_at: Option<Time>,
     /// The targets.
     pub fleet: Fleet,
     /// What was seen of them.
-    pub sights: Sights,
+    pub observations: Observations,
     /// What runs where.
     pub dispatch: dispatch::State,
     /// Ends that are not in the store yet.
@@ -330,7 +330,7 @@
     /// runs are moved by the reducer.
     pub fn restarted(&self, world: &mut World, id: &str, address: std::net::SocketAddr) {
         log::info!("target {id}, at {address}, has started again");
-        world.sights.forget(id);
+        world.observations.forget(id);
         self.pool.forget(address);
     }
 
@@ -341,9 +341,14 @@
             let world = &mut *self.world.borrow_mut();
             let mut effects = Vec::new();
             for event in world.staleness(now) {
-                effects.extend(world.dispatch.step(now, &event, &world.fleet, &mut world.sights));
+                effects.extend(world.dispatch.step(
+                    now,
+                    &event,
+                    &world.fleet,
+                    &mut world.observations,
+                ));
             }
-            effects.extend(world.dispatch.step(now, event, &world.fleet, &mut world.sights));
+            effects.extend(world.dispatch.step(now, event, &world.fleet, &mut world.observations));
             effects
         };
         for effect in effects {
--- a/crates/hollywell/src/entry/store.rs
+++ b/crates/hollywell/src/entry/store.rs
@@ -10,7 +10,7 @@
 
 use crate::core::{
     batch::Record,
-    capacity::{LIVE_OVERHEAD, LOG_OVERHEAD, Use},
+    capacity::{LIVE_OVERHEAD, LOG_OVERHEAD, Purpose},
     group::Listing,
 };
 
@@ -120,7 +120,7 @@
     /// Append only if the partition ends here.
     pub expected_end: Option<u64>,
     /// What it is for.
-    pub purpose: Use,
+    pub purpose: Purpose,
 }
 
 impl Append {
--- a/crates/hollywell/src/entry/suspects.rs
+++ b/crates/hollywell/src/entry/suspects.rs
@@ -12,7 +12,7 @@
 
 use crate::{
     core::{
-        capacity::Use,
+        capacity::Purpose,
         dispatch,
         fleet::Announcement,
         poison::{self, Digest, Verdict},
@@ -137,7 +137,7 @@
 /// A pool's targets at which no exchange broke a moment ago.
 fn sound<'a>(world: &'a World, now: Time, pool: &'a str) -> Vec<&'a str> {
     let all = world.fleet.usable(pool).map(|target| target.said.id.as_str());
-    all.filter(|id| !world.sights.is_broken(now, id)).collect()
+    all.filter(|id| !world.observations.is_broken(now, id)).collect()
 }
 
 /// Whether a suspect's last end is so long ago that it is alone where it is
@@ -329,7 +329,7 @@
 async fn append(shared: &Shared, said: &[Said]) -> Result<(), Fault> {
     let record = |said: &Said| (Some(said.digest.clone()), said.record.clone());
     let records = said.iter().map(record).collect();
-    let (part, purpose) = (Part::new(TOPIC, 0), Use::Suspect);
+    let (part, purpose) = (Part::new(TOPIC, 0), Purpose::Suspect);
     shared.append(Append { part, records, expected_end: None, purpose }).await.map(|_| ())
 }
 
--- a/crates/hollywell/src/entry/usage.rs
+++ b/crates/hollywell/src/entry/usage.rs
@@ -14,7 +14,7 @@
 
 use crate::{
     core::{
-        capacity::Use,
+        capacity::Purpose,
         usage::{self, Day, Tally},
     },
     entry::{
@@ -127,7 +127,7 @@
 /// Appends keyed records of usage.
 async fn append(shared: &Shared, records: &[(String, Bytes)]) -> Result<(), Fault> {
     let records = records.iter().map(|(key, value)| (Some(key.clone()), value.clone())).collect();
-    let (part, purpose) = (Part::new(TOPIC, 0), Use::Usage);
+    let (part, purpose) = (Part::new(TOPIC, 0), Purpose::Usage);
     let append = shared.append(Append { part, records, expected_end: None, purpose });
     // Where it is done after all, the same records come twice.
     let late = |_| Fault::Unknown(String::from("no answer in time"));
--- a/crates/hollywell/tests/dispatch.rs
+++ b/crates/hollywell/tests/dispatch.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 
 use hollywell::core::{
-    choice::Sights,
+    choice::Observations,
     dispatch::{Effect, End, Event, Item, Leave, Run, Slot, State, Work, owner},
     fleet::{Announcement, Fleet},
     time::Time,
@@ -15,7 +15,7 @@
 struct World {
     state: State,
     fleet: Fleet,
-    sights: Sights,
+    observations: Observations,
 }
 
 fn target(id: &str, version: u64) -> Announcement {
@@ -58,8 +58,13 @@
     for target in targets {
         fleet.announce(Time(1), target.clone());
     }
-    let mut world = World { state: State::new("me"), fleet, sights: Sights::default() };
-    world.state.step(Time(0), &Event::Members(vec!["me".into()]), &world.fleet, &mut world.sights);
+    let mut world = World { state: State::new("me"), fleet, observations: Observations::default() };
+    world.state.step(
+        Time(0),
+        &Event::Members(vec!["me".into()]),
+        &world.fleet,
+        &mut world.observations,
+    );
     world
 }
 
@@ -68,15 +73,15 @@
     let mut world = world(&[target("a", 1)]);
     world.state = State::new("me");
     let opened = Event::Opened(work("j", &[10, 20]));
-    assert_eq!(world.state.step(Time(1), &opened, &world.fleet, &mut world.sights), []);
+    assert_eq!(world.state.step(Time(1), &opened, &world.fleet, &mut world.observations), []);
     let members = Event::Members(vec!["me".into()]);
-    let started = world.state.step(Time(2), &members, &world.fleet, &mut world.sights);
+    let started = world.state.step(Time(2), &members, &world.fleet, &mut world.observations);
     assert_eq!(started.len(), 2, "{started:?}");
 }
 
 impl World {
     fn step(&mut self, now: u64, event: &Event) -> Vec<Effect> {
-        self.state.step(Time(now), event, &self.fleet, &mut self.sights)
+        self.state.step(Time(now), event, &self.fleet, &mut self.observations)
     }
 }
 
@@ -181,7 +186,7 @@
             world.step(20 + n * 100, &Event::Piece { run });
         }
         // The other engine is known to be three times as fast.
-        (0..10).for_each(|_| world.sights.pace("b", 30.0));
+        (0..10).for_each(|_| world.observations.pace("b", 30.0));
         let members = members.iter().map(|member| (*member).to_owned()).collect();
         world.step(921, &Event::Members(members));
         world.step(921, &Event::Stale { part: 0, stale });
--- a/crates/hollywell/tests/near.rs
+++ b/crates/hollywell/tests/near.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 
 use hollywell::core::{
-    choice::Sights,
+    choice::Observations,
     dispatch::{Effect, End, Event, Item, Run, State, Work},
     fleet::{Announcement, Fleet},
     time::Time,
@@ -58,13 +58,14 @@
 }
 
 /// An instance that alone owns a job of so many samples.
-fn started(n: usize, fleet: &Fleet, samples: usize) -> (State, Sights, Vec<Effect>) {
+fn started(n: usize, fleet: &Fleet, samples: usize) -> (State, Observations, Vec<Effect>) {
     let me = format!("i{n}");
-    let (mut state, mut sights) = (State::new(&me).within(&domain(n)), Sights::default());
-    state.step(Time(10), &Event::Members(vec![me]), fleet, &mut sights);
+    let (mut state, mut observations) =
+        (State::new(&me).within(&domain(n)), Observations::default());
+    state.step(Time(10), &Event::Members(vec![me]), fleet, &mut observations);
     let job = Event::Opened(work(&format!("j{n}"), samples));
-    let effects = state.step(Time(11), &job, fleet, &mut sights);
-    (state, sights, effects)
+    let effects = state.step(Time(11), &job, fleet, &mut observations);
+    (state, observations, effects)
 }
 
 fn targets(effects: &[Effect]) -> Vec<(Run, String)> {
@@ -106,7 +107,7 @@
 #[test]
 fn samples_of_a_lost_domain_go_on_elsewhere_at_once() {
     let fleet = fleet(10);
-    let (mut state, mut sights, effects) = started(0, &fleet, 8);
+    let (mut state, mut observations, effects) = started(0, &fleet, 8);
     let mut now = 1_000;
     let mut lost = targets(&effects);
     for round in 0..40 {
@@ -117,10 +118,10 @@
                 continue;
             }
             let ended = Event::Ended { run, end: End::Unreached };
-            again.extend(state.step(Time(now), &ended, &fleet, &mut sights));
+            again.extend(state.step(Time(now), &ended, &fleet, &mut observations));
         }
         now += 60;
-        again.extend(state.step(Time(now), &Event::Tick, &fleet, &mut sights));
+        again.extend(state.step(Time(now), &Event::Tick, &fleet, &mut observations));
         lost = targets(&again);
         let elsewhere = lost.iter().all(|(_, id)| fleet.targets[id].said.domain != domain(0));
         if lost.is_empty() || elsewhere {
@@ -139,9 +140,9 @@
         said.draining = true;
         fleet.announce(Time(5), said);
     }
-    let (mut state, mut sights, effects) = started(0, &fleet, 1);
+    let (mut state, mut observations, effects) = started(0, &fleet, 1);
     assert!(targets(&effects).is_empty(), "nobody has the version");
     fleet.answered("e4000", None, "m", 2);
-    let effects = state.step(Time(120), &Event::Tick, &fleet, &mut sights);
+    let effects = state.step(Time(120), &Event::Tick, &fleet, &mut observations);
     assert_eq!(targets(&effects).len(), 1, "looked again after 100 ms");
 }
--- a/crates/hollywell/tests/roll.rs
+++ b/crates/hollywell/tests/roll.rs
@@ -3,7 +3,7 @@
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 use hollywell::core::{
-    choice::Sights,
+    choice::Observations,
     fleet::{Announcement, Fleet},
     time::Time,
     weight_loading::{Models, State, Step, is_due},
@@ -37,10 +37,10 @@
 
 /// Carries all orders out, one pass after the other; how many there were.
 fn settle(fleet: &mut Fleet, named: &Models) -> usize {
-    let (mut state, sights) = (State::default(), Sights::default());
+    let (mut state, observations) = (State::default(), Observations::default());
     let mut count = 0;
     for now in 1..100 {
-        for order in state.step(Time(now), "d", named, fleet, &sights) {
+        for order in state.step(Time(now), "d", named, fleet, &observations) {
             fleet.answered(&order.target, order.born, &order.model, order.version);
             count += 1;
         }
@@ -101,7 +101,7 @@
     for (n, target) in fleet.targets.values_mut().enumerate() {
         target.said.domain = format!("d{}", n % DOMAINS);
     }
-    let sights = Sights::default();
+    let observations = Observations::default();
     for version in 2..8 {
         let mut models = named(&[("m", version)]);
         models.asked("m", 100_000, SAMPLES);
@@ -110,7 +110,7 @@
         for now in 1..100 {
             for (domain, state) in states.iter_mut().enumerate() {
                 let name = format!("d{domain}");
-                for order in state.step(Time(now), &name, &models, &fleet, &sights) {
+                for order in state.step(Time(now), &name, &models, &fleet, &observations) {
                     fleet.answered(&order.target, order.born, &order.model, order.version);
                     loads += 1;
                 }
@@ -137,7 +137,7 @@
     let step = |min_version, samples| vec![Step { min_version, samples }];
     models.steps.insert("calm".into(), step(1, 10));
     models.steps.insert("waits".into(), step(2, 70));
-    let orders = State::default().step(Time(10), "d", &models, &fleet, &Sights::default());
+    let orders = State::default().step(Time(10), "d", &models, &fleet, &Observations::default());
     let order: Vec<&str> = orders.iter().map(|order| order.model.as_str()).collect();
     assert_eq!(order, ["waits"; 3], "though the engines are further behind with the other");
 }
@@ -180,7 +180,7 @@
             *until > now
         });
         for (office, domain) in offices.iter_mut().zip(DOMAINS) {
-            for order in office.step(Time(now), domain, &models, &fleet, &Sights::default()) {
+            for order in office.step(Time(now), domain, &models, &fleet, &Observations::default()) {
                 let takes = (900 * (loading.len() as u64 + 1) / 2).max(900);
                 loading.push((now + takes, order.target, order.model, order.version));
             }
@@ -210,13 +210,13 @@
 fn an_order_without_effect_is_given_again_and_others_wait_for_it() {
     let fleet = fleet(2, &["m"], 1);
     let named = named(&[("m", 3)]);
-    let (mut state, sights) = (State::default(), Sights::default());
-    let first = state.step(Time(10), "d", &named, &fleet, &sights);
+    let (mut state, observations) = (State::default(), Observations::default());
+    let first = state.step(Time(10), "d", &named, &fleet, &observations);
     assert_eq!(first.len(), 1);
-    assert!(state.step(Time(500), "d", &named, &fleet, &sights).is_empty());
+    assert!(state.step(Time(500), "d", &named, &fleet, &observations).is_empty());
     state.failed(&first[0].target);
-    assert_eq!(state.step(Time(600), "d", &named, &fleet, &sights).len(), 1);
-    let again = state.step(Time(9_000), "d", &named, &fleet, &sights);
+    assert_eq!(state.step(Time(600), "d", &named, &fleet, &observations).len(), 1);
+    let again = state.step(Time(9_000), "d", &named, &fleet, &observations);
     assert_eq!(again.len(), 1, "an order does not block for good");
 }
 
@@ -226,7 +226,7 @@
     fleet.targets.get_mut("e0").unwrap().said.domain = "elsewhere".into();
     fleet.targets.get_mut("e1").unwrap().said.draining = true;
     let named = named(&[("m", 3)]);
-    let orders = State::default().step(Time(10), "d", &named, &fleet, &Sights::default());
+    let orders = State::default().step(Time(10), "d", &named, &fleet, &Observations::default());
     let targets: Vec<&str> = orders.iter().map(|order| order.target.as_str()).collect();
     assert_eq!(targets, ["e2"]);
 }
@@ -253,7 +253,7 @@
     for (engines, expected) in [(2, 1), (5, 1), (6, 2), (11, 3)] {
         let fleet = fleet(engines, &["m"], 1);
         let named = named(&[("m", 3)]);
-        let orders = State::default().step(Time(10), "d", &named, &fleet, &Sights::default());
+        let orders = State::default().step(Time(10), "d", &named, &fleet, &Observations::default());
         assert_eq!(orders.len(), expected, "{engines} engines");
     }
 }
--- a/crates/hollywell/tests/spare.rs
+++ b/crates/hollywell/tests/spare.rs
@@ -8,7 +8,7 @@
         Book, Brief, Head, Keys, Outcome, Partial, Record, Spare, Terms, TextRef, bundle_key,
         end_record, head_record, outcome_record, partial_record, partial_text_key, text_key,
     },
-    capacity::{Log, State, Use},
+    capacity::{Log, Purpose, State},
     time::Time,
 };
 
@@ -205,7 +205,7 @@
     // Half of the room is live; all of it was read at once at the start.
     log.note(Time(0), 1_000, ROOM / 2);
     state.seen(Time(0), ROOM / 2, log.bytes(most), 0);
-    assert!(state.allows(Time(0), Use::Outcome, 1_000), "{} used", state.used());
+    assert!(state.allows(Time(0), Purpose::Outcome, 1_000), "{} used", state.used());
     assert!(log.bytes(most) >= most, "it may be as full as it may be");
     log.expire(Time(301_000), 300_000);
     assert_eq!(log.bytes(most), 0, "nothing of it lives any more");
