--- a/crates/hollywell/src/core/capacity.rs
+++ b/crates/hollywell/src/core/capacity.rs
@@ -12,7 +12,7 @@
 //!
 //! Nobody is told how full the store is, so [`State`] adds up what is known
 //! from folding the records. It is an estimate, and the store's own refusal
-//! ([`State::refused`]) counts for more.
+//! ([`State::record_refusal`]) counts for more.
 //!
 //! What it leaves out: the appends themselves ([`crate::entry::store`]).
 
@@ -32,7 +32,7 @@
 /// How long a record stays in its log before the log is trimmed, in
 /// milliseconds: readers are a second behind at most unless they are cut off,
 /// and then they begin anew from the newest records.
-pub const LEAST_MS: u64 = 10_000;
+pub const MIN_LOG_AGE_MS: u64 = 10_000;
 /// Time between two marks of a log, in milliseconds.
 const MARK_MS: u64 = 1_000;
 /// Share of the room that all logs together may take before they are trimmed.
@@ -147,12 +147,12 @@
 ///
 /// let mut log = Log::default();
 /// for second in 0..60 {
-///     log.note(Time(second * 1_000), second * 10, 1_000);
+///     log.record(Time(second * 1_000), second * 10, 1_000);
 /// }
 /// // 60 KB fit in what it may take.
-/// assert_eq!(log.cut(Time(59_000), 100_000, None), None);
+/// assert_eq!(log.trim_offset(Time(59_000), 100_000, None), None);
 /// // 20 KB do not: all but the last of them may go.
-/// assert_eq!(log.cut(Time(59_000), 20_000, None), Some(390));
+/// assert_eq!(log.trim_offset(Time(59_000), 20_000, None), Some(390));
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct Log {
@@ -168,7 +168,7 @@
 impl Log {
     /// Notes that it ends at `end`, `bytes` having been added since the last
     /// note.
-    pub fn note(&mut self, now: Time, end: u64, bytes: u64) {
+    pub fn record(&mut self, now: Time, end: u64, bytes: u64) {
         self.written += bytes;
         let due = |last: &Mark| end > last.end && now.since(last.at) >= MARK_MS;
         if self.marks.is_empty() && !self.known {
@@ -201,8 +201,8 @@
     /// it may take `most` bytes. If the store is `full`, it is trimmed up to
     /// records of the age given, whatever it holds.
     #[must_use]
-    pub fn cut(&self, now: Time, most: u64, full: Option<u64>) -> Option<u64> {
-        let least_ms = full.unwrap_or(LEAST_MS);
+    pub fn trim_offset(&self, now: Time, most: u64, full: Option<u64>) -> Option<u64> {
+        let least_ms = full.unwrap_or(MIN_LOG_AGE_MS);
         let old = |mark: &&Mark| now.since(mark.at) >= least_ms;
         let enough = |mark: &&Mark| self.written - mark.written <= most;
         let mut olds = self.marks.iter().filter(old);
@@ -238,13 +238,13 @@
 ///
 /// let mut state = State::new(1_000_000);
 /// let (now, next_drop) = (Time(0), None);
-/// state.seen(now, 500_000, 100_000, 50_000);
+/// state.update(now, 500_000, 100_000, 50_000);
 /// assert!(state.allows(now, Purpose::Text, 1_000));
 /// assert!(state.admit(now, 40_000, next_drop).is_ok());
 /// // What is kept, what is to come and this job exceed 600 KB.
 /// assert!(state.admit(now, 60_000, next_drop).is_err());
 /// // The store's own word counts for more than any sum.
-/// state.refused(now);
+/// state.record_refusal(now);
 /// assert!(state.admit(now, 1, next_drop).is_err());
 /// assert!(!state.allows(now, Purpose::PartialText, 1_000));
 /// assert!(state.allows(now, Purpose::End, 1_000_000));
@@ -272,7 +272,7 @@
 
     /// Takes over what is known: bytes of the newest records of keys that are
     /// needed, of logs, and what accepted jobs will add.
-    pub fn seen(&mut self, now: Time, live: u64, logs: u64, to_come: u64) {
+    pub fn update(&mut self, now: Time, live: u64, logs: u64, to_come: u64) {
         // What nothing needs any more is there until it is dropped, which
         // takes a while, and for as long as a full store drops nothing.
         let dropped = now.since(self.live_at) >= DROP_MS && !self.is_full(now);
@@ -292,7 +292,7 @@
     }
 
     /// Notes that the store had no room.
-    pub const fn refused(&mut self, now: Time) {
+    pub const fn record_refusal(&mut self, now: Time) {
         self.full_at = Some(now);
     }
 
@@ -310,13 +310,13 @@
 
     /// Bytes of room.
     #[must_use]
-    pub const fn room(&self) -> u64 {
+    pub const fn total(&self) -> u64 {
         self.room
     }
 
     /// Bytes that one log of so many may take before it is trimmed.
     #[must_use]
-    pub fn log_most(&self, logs: usize) -> u64 {
+    pub fn max_log_bytes(&self, logs: usize) -> u64 {
         (self.room as f64 * LOG_SHARE) as u64 / logs.max(1) as u64
     }
 
--- a/crates/hollywell/src/core/choice.rs
+++ b/crates/hollywell/src/core/choice.rs
@@ -76,24 +76,24 @@
 #[derive(Clone, Debug, Default)]
 pub struct Observation {
     /// Requests of this instance that are at the target.
-    pub mine: u32,
-    others: u32,
-    others_at: Time,
+    pub own_requests: u32,
+    other_requests: u32,
+    other_requests_at: Time,
     avoid_until: Time,
     /// Mean time between events of its streams, in milliseconds.
     pub pace_ms: Option<f64>,
     /// Mean time that a plain request's whole answer took, in milliseconds.
     pub answer_ms: Option<f64>,
     /// Exchanges broken in a row.
-    pub broken: u32,
+    pub consecutive_failures: u32,
     /// Refusals for lack of room in a row.
-    full: u32,
+    consecutive_refusals: u32,
     /// Connections that are probably open to it.
-    open: u32,
+    open_connections: u32,
     /// When a request there last ended.
     ended_at: Time,
     /// When anything last came from it.
-    pub heard_at: Time,
+    pub last_response_at: Time,
 }
 
 /// What was seen of all targets, by id.
@@ -106,7 +106,7 @@
 impl Observations {
     /// What was seen of a target.
     #[must_use]
-    pub fn of(&self, id: &str) -> Option<&Observation> {
+    pub fn get(&self, id: &str) -> Option<&Observation> {
         self.targets.get(id)
     }
 
@@ -118,67 +118,70 @@
     }
 
     /// Notes that a request went to a target.
-    pub fn sent(&mut self, id: &str) {
+    pub fn request_started(&mut self, id: &str) {
         let observation = self.at(id);
-        observation.mine += 1;
-        observation.open = observation.open.max(observation.mine);
+        observation.own_requests += 1;
+        observation.open_connections = observation.open_connections.max(observation.own_requests);
     }
 
     /// Notes that a request at a target ended.
-    pub fn ended(&mut self, now: Time, id: &str) {
+    pub fn request_ended(&mut self, now: Time, id: &str) {
         let observation = self.at(id);
-        observation.mine = observation.mine.saturating_sub(1);
+        observation.own_requests = observation.own_requests.saturating_sub(1);
         observation.ended_at = now;
     }
 
     /// Notes that a request's connection was closed with it.
-    pub fn closed(&mut self, id: &str) {
+    pub fn connection_closed(&mut self, id: &str) {
         let observation = self.at(id);
-        observation.open = observation.open.saturating_sub(1);
+        observation.open_connections = observation.open_connections.saturating_sub(1);
     }
 
     /// Whether a connection to a target is probably open and idle.
     fn has_connection(&self, now: Time, id: &str) -> bool {
         self.targets.get(id).is_some_and(|observation| {
-            observation.mine < observation.open && now.since(observation.ended_at) < CONNECTION_MS
+            observation.own_requests < observation.open_connections
+                && now.since(observation.ended_at) < CONNECTION_MS
         })
     }
 
     /// Forgets what was seen of a target that has started again, but for this
     /// instance's own requests, whose ends are still to be noted.
-    pub fn forget(&mut self, id: &str) {
+    pub fn reset(&mut self, id: &str) {
         if let Some(observation) = self.targets.get_mut(id) {
-            *observation = Observation { mine: observation.mine, ..Observation::default() };
+            *observation =
+                Observation { own_requests: observation.own_requests, ..Observation::default() };
         }
     }
 
     /// Notes the load that came with an answer.
-    pub fn load(&mut self, now: Time, id: &str, load: Load) {
+    pub fn record_load(&mut self, now: Time, id: &str, load: Load) {
         let observation = self.at(id);
-        observation.others = (load.running + load.waiting).saturating_sub(observation.mine);
-        observation.others_at = now;
-        observation.heard_at = now;
+        observation.other_requests =
+            (load.running + load.waiting).saturating_sub(observation.own_requests);
+        observation.other_requests_at = now;
+        observation.last_response_at = now;
     }
 
     /// Notes that a target works.
-    pub fn sound(&mut self, now: Time, id: &str) {
+    pub fn record_success(&mut self, now: Time, id: &str) {
         let observation = self.at(id);
-        observation.broken = 0;
-        observation.full = 0;
+        observation.consecutive_failures = 0;
+        observation.consecutive_refusals = 0;
         observation.avoid_until = Time(0);
-        observation.heard_at = now;
+        observation.last_response_at = now;
     }
 
     /// Notes that a target had no room.
-    pub fn full(&mut self, now: Time, id: &str) {
+    pub fn record_refusal(&mut self, now: Time, id: &str) {
         let observation = self.at(id);
-        let wait_ms = FULL_MS << observation.full.min(FULL_DOUBLINGS);
-        observation.full += 1;
+        let wait_ms = FULL_MS << observation.consecutive_refusals.min(FULL_DOUBLINGS);
+        observation.consecutive_refusals += 1;
         observation.avoid_until = observation.avoid_until.max(now.after(wait_ms));
     }
 
     /// Notes that a target's streams stand still.
-    pub fn stalled(&mut self, now: Time, id: &str) {
+    pub fn record_stall(&mut self, now: Time, id: &str) {
         let observation = self.at(id);
         observation.avoid_until = observation.avoid_until.max(now.after(STALLED_MS));
     }
@@ -191,38 +194,38 @@
 
     /// Notes that an exchange with a target broke; it is avoided for longer
     /// each time.
-    pub fn broke(&mut self, now: Time, id: &str) {
+    pub fn record_failure(&mut self, now: Time, id: &str) {
         let observation = self.at(id);
-        observation.broken += 1;
-        let factor = u64::from(observation.broken.min(4));
+        observation.consecutive_failures += 1;
+        let factor = u64::from(observation.consecutive_failures.min(4));
         observation.avoid_until = now.after(AVOID_MS * factor);
     }
 
     /// Notes the time between two events of a target's stream.
-    pub fn pace(&mut self, id: &str, gap_ms: f64) {
+    pub fn record_event_gap(&mut self, id: &str, gap_ms: f64) {
         let observation = self.at(id);
         observation.pace_ms = Some(moving_mean(observation.pace_ms, gap_ms));
     }
 
     /// Notes how long a plain request's whole answer took.
-    pub fn answered(&mut self, id: &str, took_ms: u64) {
+    pub fn record_answer_time(&mut self, id: &str, took_ms: u64) {
         let observation = self.at(id);
         observation.answer_ms = Some(moving_mean(observation.answer_ms, took_ms as f64));
     }
 
     /// Whether a target is avoided now.
     #[must_use]
-    pub fn avoided(&self, now: Time, id: &str) -> bool {
+    pub fn is_avoided(&self, now: Time, id: &str) -> bool {
         self.targets.get(id).is_some_and(|observation| now < observation.avoid_until)
     }
 
     /// Whether an exchange with a target broke a moment ago, and none went
     /// well since.
     #[must_use]
-    pub fn is_broken(&self, now: Time, id: &str) -> bool {
-        self.targets
-            .get(id)
-            .is_some_and(|observation| observation.broken > 0 && now < observation.avoid_until)
+    pub fn has_failed_recently(&self, now: Time, id: &str) -> bool {
+        self.targets.get(id).is_some_and(|observation| {
+            observation.consecutive_failures > 0 && now < observation.avoid_until
+        })
     }
 
     /// Requests believed to be at a target, everybody's.
@@ -231,14 +234,15 @@
         let Some(observation) = self.targets.get(id) else {
             return self.usual_others;
         };
-        let age = now.since(observation.others_at).min(LOAD_FADES_MS);
+        let age = now.since(observation.other_requests_at).min(LOAD_FADES_MS);
         let fresh = 1.0 - age as f64 / LOAD_FADES_MS as f64;
-        let others = f64::from(observation.others) * fresh + self.usual_others * (1.0 - fresh);
-        f64::from(observation.mine) + others
+        let others =
+            f64::from(observation.other_requests) * fresh + self.usual_others * (1.0 - fresh);
+        f64::from(observation.own_requests) + others
     }
 
     fn mine_at(&self, id: &str) -> f64 {
-        self.targets.get(id).map_or(0.0, |observation| f64::from(observation.mine))
+        self.targets.get(id).map_or(0.0, |observation| f64::from(observation.own_requests))
     }
 
     /// Whether a target reported a free place a moment ago.
@@ -246,8 +250,9 @@
         let Some(observation) = self.targets.get(&target.id) else {
             return false;
         };
-        let load = f64::from(observation.mine + observation.others);
-        now.since(observation.others_at) < ROOM_MS && load < f64::from(target.slots) * ROOM_SHARE
+        let load = f64::from(observation.own_requests + observation.other_requests);
+        now.since(observation.other_requests_at) < ROOM_MS
+            && load < f64::from(target.slots) * ROOM_SHARE
     }
 
     /// Median pace over targets whose pace is known, in milliseconds.
@@ -271,7 +276,7 @@
     /// `events` is how many events the request is expected to take; what a
     /// slow target costs grows with it, what a queue costs does not. So long
     /// requests go to fast targets and short ones to whatever is free.
-    /// `most_load` is how many requests a target may have for each of its
+    /// `max_load` is how many requests a target may have for each of its
     /// slots.
     ///
     /// # Example
@@ -285,13 +290,13 @@
     ///     versions: Default::default(), born: None, beats: 0,
     /// };
     /// let (a, b) = (target("a"), target("b"));
-    /// let need = Need { events: 20.0, most_load: 1.0, sharers: 1.0, salt: 0 };
+    /// let need = Need { events: 20.0, max_load: 1.0, instances: 1.0, salt: 0 };
     /// let mut observations = Observations::default();
-    /// observations.sent("a");
+    /// observations.request_started("a");
     /// let pick = observations.choose(Time(5), [&a, &b].into_iter(), need);
     /// assert_eq!(pick.unwrap().id, "b");
     /// // With both full there is no choice, not the lesser evil.
-    /// observations.sent("b");
+    /// observations.request_started("b");
     /// assert!(observations.choose(Time(5), [&a, &b].into_iter(), need).is_none());
     /// ```
     #[must_use]
@@ -305,16 +310,16 @@
         let cost = |target: &Announcement| {
             let slots = f64::from(target.slots.max(1));
             let load = self.load_of(now, &target.id);
-            if load >= slots * need.most_load || self.avoided(now, &target.id) {
+            if load >= slots * need.max_load || self.is_avoided(now, &target.id) {
                 return None;
             }
-            let share = (slots * need.most_load / need.sharers.max(1.0)).ceil();
+            let share = (slots * need.max_load / need.instances.max(1.0)).ceil();
             if self.mine_at(&target.id) >= share && !self.has_room(now, target) {
                 return None;
             }
             let cold = if target.cold { 2.0 } else { 1.0 };
             let pace =
-                self.of(&target.id).and_then(|observation| observation.pace_ms).unwrap_or(median);
+                self.get(&target.id).and_then(|observation| observation.pace_ms).unwrap_or(median);
             let run = need.events * pace * cold * (1.0 + SLOT_SLOWS * load);
             // A place comes free each time one of its requests ends.
             let queue = (load + 1.0 - slots).max(0.0) / slots * USUAL_EVENTS * pace;
@@ -338,12 +343,12 @@
     /// Events that it is expected to take; 1 for a plain request.
     pub events: f64,
     /// Requests that a target may have for each of its slots.
-    pub most_load: f64,
+    pub max_load: f64,
     /// Instances that choose at the same time. Each keeps to its share of a
     /// target's places, unless the target has just said that it has room:
     /// else all of them would fill the few targets that can serve, before
     /// any answer tells them of the others.
-    pub sharers: f64,
+    pub instances: f64,
     /// Breaks ties, so that not all instances choose alike.
     pub salt: u64,
 }
--- a/crates/hollywell/src/core/configuration.rs
+++ b/crates/hollywell/src/core/configuration.rs
@@ -11,11 +11,13 @@
 
 /// What may be done with requests of a route.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Repeat {
+pub enum RouteKind {
     /// May run more than once.
-    Safe,
+    #[serde(rename = "Safe")]
+    Idempotent,
     /// Runs at most once for each attempt of a caller.
-    Once,
+    #[serde(rename = "Once")]
+    AtMostOnce,
     /// A stream of events; at most once unless it may be resumed.
     Stream,
     /// Batch jobs of samples.
@@ -32,7 +34,8 @@
     /// What their paths begin with; begins and ends with a slash.
     pub prefix: String,
     /// What may be repeated.
-    pub repeat: Repeat,
+    #[serde(rename = "repeat")]
+    pub kind: RouteKind,
     /// Longest time that a request is kept waiting, in milliseconds.
     pub timeout_ms: u64,
     /// Time within which an answer earns its full worth, in milliseconds.
@@ -96,11 +99,11 @@
     /// # Example
     ///
     /// ```
-    /// use hollywell::core::configuration::{Configuration, Repeat, Route};
+    /// use hollywell::core::configuration::{Configuration, RouteKind, Route};
     ///
     /// let route = |name: &str, prefix: &str| Route {
     ///     name: name.into(), host: "h".into(), prefix: prefix.into(),
-    ///     repeat: Repeat::Safe, timeout_ms: 1_500, target_ms: 150, priority: 2,
+    ///     kind: RouteKind::Idempotent, timeout_ms: 1_500, target_ms: 150, priority: 2,
     ///     pools: vec![], attempts: 2, due_ms: 0, keep_ms: 0,
     ///     single_version: false, resumable: false, public: false,
     /// };
@@ -121,7 +124,7 @@
     /// Whether jobs of a host may be anybody's.
     #[must_use]
     pub fn has_public_jobs(&self, host: &str) -> bool {
-        let is_one = |route: &Route| route.repeat == Repeat::Batch && route.public;
+        let is_one = |route: &Route| route.kind == RouteKind::Batch && route.public;
         self.routes.iter().any(|route| route.host == host && is_one(route))
     }
 
--- a/crates/hollywell/src/core/dispatch/leave.rs
+++ b/crates/hollywell/src/core/dispatch/leave.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeSet;
 
 use super::{
-    Effect, Leave, Progress, Run, Running, Slot, Stage, State, TOKENS_AN_EVENT,
+    Effect, MoveReason, Progress, Run, Running, Slot, Stage, State, TOKENS_AN_EVENT,
     locality::{self, Who},
 };
 use crate::core::{
@@ -107,17 +107,17 @@
         run: Run,
         fleet: &Fleet,
         observations: &Observations,
-    ) -> Option<Leave> {
+    ) -> Option<MoveReason> {
         let running = self.runs.get(&run)?;
         let silent_ms = now.since(running.heard_at);
         let patience_ms = if running.head { SILENCE_MS } else { QUEUED_MOST_MS };
         if silent_ms > patience_ms {
-            return Some(Leave::Broken);
+            return Some(MoveReason::Broken);
         }
         // A target that has started again knows nothing of the run.
         let target = fleet.targets.get(&running.target);
-        if target.is_none_or(|target| target.said.born != running.born) {
-            return Some(Leave::Gone);
+        if target.is_none_or(|target| target.announcement.born != running.born) {
+            return Some(MoveReason::Gone);
         }
         // What could not begin again here stays where it is. While a
         // partition of jobs could not be read, samples of its jobs that left
@@ -129,7 +129,7 @@
         let stall_ms =
             if running.head { STALL_MS.max((pace * STALL_PACES) as u64) } else { QUEUED_MS };
         if silent_ms > stall_ms && self.free_place(now, running, fleet, observations).is_some() {
-            return Some(Leave::Stalled);
+            return Some(MoveReason::Stalled);
         }
         if running.events < MOVE_LEAST_EVENTS {
             return None;
@@ -137,7 +137,7 @@
         let faster = self.free_place(now, running, fleet, observations)?;
         let there = observations.pace_of(&faster);
         let gain = self.events_left(running) * (pace - there);
-        (gain > MOVE_GAIN_MS && pace > there * MOVE_SLOWER).then_some(Leave::Slow)
+        (gain > MOVE_GAIN_MS && pace > there * MOVE_SLOWER).then_some(MoveReason::Slow)
     }
 
     /// Whether a sample is this instance's to begin, and its job is known to
@@ -159,8 +159,8 @@
         let open = self.jobs.get(&running.slot.job)?;
         let work = &open.work;
         let events = self.events_left(running);
-        let sharers = self.members.len() as f64;
-        let need = Need { events, most_load: FREE_LOAD, sharers, salt: 0 };
+        let instances = self.members.len() as f64;
+        let need = Need { events, max_load: FREE_LOAD, instances, salt: 0 };
         let targets = open.locality.targets(work, fleet).into_iter();
         let targets = targets
             .filter(|said| said.id != running.target)
@@ -182,7 +182,7 @@
         &mut self,
         now: Time,
         run: Run,
-        why: Leave,
+        why: MoveReason,
         observations: &mut Observations,
         effects: &mut Vec<Effect>,
     ) {
@@ -190,9 +190,9 @@
             return;
         };
         match why {
-            Leave::Broken => observations.broke(now, &running.target),
-            Leave::Stalled => observations.stalled(now, &running.target),
-            Leave::Gone | Leave::Slow => {}
+            MoveReason::Broken => observations.record_failure(now, &running.target),
+            MoveReason::Stalled => observations.record_stall(now, &running.target),
+            MoveReason::Gone | MoveReason::Slow => {}
         }
         self.stop(run, observations, effects);
         if let Some(open) = self.jobs.get_mut(&running.slot.job) {
--- a/crates/hollywell/src/core/dispatch/locality.rs
+++ b/crates/hollywell/src/core/dispatch/locality.rs
@@ -67,15 +67,15 @@
         }
         let is_fit = |target: &&Target| {
             target.may_run(&work.model, work.min_version)
-                && !observations.avoided(now, &target.said.id)
+                && !observations.is_avoided(now, &target.announcement.id)
         };
         let rank = |target: &Target| {
-            let id = target.said.id.as_bytes();
+            let id = target.announcement.id.as_bytes();
             let hash = xxhash_rust::xxh3::xxh3_64_with_seed(id, who.salt);
-            (target.said.domain != who.domain, hash)
+            (target.announcement.domain != who.domain, hash)
         };
         let all = fleet.usable(&work.pool).filter(is_fit);
-        let mut all: Vec<_> = all.map(|target| (rank(target), &target.said.id)).collect();
+        let mut all: Vec<_> = all.map(|target| (rank(target), &target.announcement.id)).collect();
         let most = FEW.max(who.samples * EACH);
         if all.len() > most {
             all.select_nth_unstable(most);
@@ -89,11 +89,16 @@
     pub(super) fn targets<'a>(&self, work: &'a Work, fleet: &'a Fleet) -> Vec<&'a Announcement> {
         let is_fit = |target: &&Target| target.may_run(&work.model, work.min_version);
         if is_small(fleet) {
-            return fleet.usable(&work.pool).filter(is_fit).map(|target| &target.said).collect();
+            return fleet
+                .usable(&work.pool)
+                .filter(is_fit)
+                .map(|target| &target.announcement)
+                .collect();
         }
         let picked = self.ids.iter().filter_map(|id| fleet.targets.get(id));
-        let is_usable = |target: &&Target| target.said.pool == work.pool && fleet.takes(target);
-        picked.filter(is_usable).filter(is_fit).map(|target| &target.said).collect()
+        let is_usable =
+            |target: &&Target| target.announcement.pool == work.pool && fleet.accepts(target);
+        picked.filter(is_usable).filter(is_fit).map(|target| &target.announcement).collect()
     }
 }
 
--- a/crates/hollywell/src/core/dispatch/mod.rs
+++ b/crates/hollywell/src/core/dispatch/mod.rs
@@ -146,12 +146,14 @@
         stale: bool,
     },
     /// A run's answer began.
-    Head {
+    #[serde(rename = "Head")]
+    AnswerStarted {
         /// The run.
         run: Run,
     },
     /// A whole event of a run's stream came.
-    Piece {
+    #[serde(rename = "Piece")]
+    StreamEvent {
         /// The run.
         run: Run,
     },
@@ -198,7 +200,7 @@
         /// The target that it left.
         target: String,
         /// Why.
-        why: Leave,
+        why: MoveReason,
     },
     /// Forget what is kept of a sample's text.
     Discard(Slot),
@@ -212,7 +214,7 @@
 
 /// Why a run leaves its target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Leave {
+pub enum MoveReason {
     /// Nothing has come for so long that the target must be broken.
     Broken,
     /// Nothing has come for a while, and another target has a free place.
@@ -254,7 +256,7 @@
 }
 
 #[derive(Clone, Debug)]
-struct Open {
+struct ActiveJob {
     work: Work,
     progress: Vec<Progress>,
     /// Positions in the order in which they are started.
@@ -275,7 +277,7 @@
     targets: Option<(Time, usize)>,
     now: Time,
     members: Vec<String>,
-    jobs: BTreeMap<String, Open>,
+    jobs: BTreeMap<String, ActiveJob>,
     /// Jobs in the order in which they came.
     arrival: Vec<String>,
     runs: HashMap<Run, Running>,
@@ -296,7 +298,7 @@
 
     /// The same of an instance of a failure domain.
     #[must_use]
-    pub fn within(self, domain: &str) -> State {
+    pub fn in_domain(self, domain: &str) -> State {
         State { domain: domain.to_owned(), ..self }
     }
 
@@ -328,8 +330,8 @@
             Event::Stale { part, stale: false } => {
                 self.stale.remove(part);
             }
-            Event::Head { run } => self.head(now, *run),
-            Event::Piece { run } => self.piece(now, *run, observations),
+            Event::AnswerStarted { run } => self.head(now, *run),
+            Event::StreamEvent { run } => self.piece(now, *run, observations),
             Event::Ended { run, end } => self.ended(now, *run, *end, observations, &mut effects),
             Event::Ahead { slot, last } => self.ahead(slot, *last, observations, &mut effects),
             Event::Scored(slot) => {
@@ -339,7 +341,7 @@
                 self.delivered(slot, Effect::GiveUp(slot.clone()), &mut effects);
             }
         }
-        if !matches!(event, Event::Head { .. } | Event::Piece { .. }) {
+        if !matches!(event, Event::AnswerStarted { .. } | Event::StreamEvent { .. }) {
             self.start(now, fleet, observations, &mut effects);
         }
         effects
@@ -368,7 +370,7 @@
         self.arrival.push(work.job.clone());
         self.jobs.insert(
             work.job.clone(),
-            Open { work, progress, order, owners, locality: Locality::default() },
+            ActiveJob { work, progress, order, owners, locality: Locality::default() },
         );
     }
 
@@ -448,7 +450,7 @@
             return;
         };
         if running.events > 0 {
-            observations.pace(&running.target, now.since(running.heard_at) as f64);
+            observations.record_event_gap(&running.target, now.since(running.heard_at) as f64);
         }
         running.events += 1;
         running.heard_at = now;
@@ -465,9 +467,9 @@
         let Some(running) = self.runs.remove(&run) else {
             return;
         };
-        observations.ended(now, &running.target);
+        observations.request_ended(now, &running.target);
         if matches!(end, End::Broken | End::Unreached | End::WrongVersion) {
-            observations.closed(&running.target);
+            observations.connection_closed(&running.target);
         }
         let Some(open) = self.jobs.get_mut(&running.slot.job) else {
             return;
@@ -478,20 +480,22 @@
         progress.events += running.events;
         match end {
             End::Whole => {
-                observations.sound(now, &running.target);
+                observations.record_success(now, &running.target);
                 progress.stage = Stage::Scoring;
                 effects.push(Effect::Score(running.slot));
             }
-            End::Full | End::Misdirected | End::Stale => observations.full(now, &running.target),
+            End::Full | End::Misdirected | End::Stale => {
+                observations.record_refusal(now, &running.target)
+            }
             End::Unready => progress.not_before = now.after(UNREADY_MS),
             End::Held => progress.not_before = now.after(HELD_MS),
             End::Broken | End::Unreached => {
-                observations.broke(now, &running.target);
+                observations.record_failure(now, &running.target);
                 progress.not_before = now.after(BACKOFF_MS);
             }
             End::WrongVersion => {
                 progress.events = 0;
-                observations.full(now, &running.target);
+                observations.record_refusal(now, &running.target);
                 effects.push(Effect::Discard(running.slot));
             }
             End::Failed => {
@@ -522,8 +526,8 @@
 
     fn stop(&mut self, run: Run, observations: &mut Observations, effects: &mut Vec<Effect>) {
         if let Some(running) = self.runs.remove(&run) {
-            observations.ended(self.now, &running.target);
-            observations.closed(&running.target);
+            observations.request_ended(self.now, &running.target);
+            observations.connection_closed(&running.target);
             effects.push(Effect::Cancel(run));
         }
     }
@@ -577,8 +581,8 @@
                 }
                 let need = Need {
                     events: f64::from(work.samples[at].tokens) / TOKENS_AN_EVENT,
-                    most_load: MOST_LOAD,
-                    sharers: self.members.len() as f64,
+                    max_load: MOST_LOAD,
+                    instances: self.members.len() as f64,
                     salt: salt ^ self.next_run,
                 };
                 let Some(target) = observations.choose(now, targets.iter().copied(), need) else {
@@ -588,7 +592,7 @@
                 let run = Run(self.next_run);
                 self.next_run += 1;
                 progress.stage = Stage::Running(run);
-                observations.sent(&target.id);
+                observations.request_started(&target.id);
                 let slot = Slot { job: job.clone(), at };
                 let running = Running {
                     slot: slot.clone(),
--- a/crates/hollywell/src/core/ending.rs
+++ b/crates/hollywell/src/core/ending.rs
@@ -52,14 +52,16 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Event {
     /// A caller asked for a job's end here.
-    Asked {
+    #[serde(rename = "Asked")]
+    Requested {
         /// The job.
         job: String,
         /// It is known here; else another instance may have accepted it.
         known: bool,
     },
     /// A peer says that ends of jobs were asked for.
-    Told {
+    #[serde(rename = "Told")]
+    Reported {
         /// The peer, if it is known.
         by: String,
         /// The jobs.
@@ -101,7 +103,8 @@
     /// Append a job's end.
     Append(String),
     /// Tell a peer of ends.
-    Tell {
+    #[serde(rename = "Tell")]
+    Notify {
         /// The peer.
         member: String,
         /// The jobs.
@@ -147,7 +150,7 @@
 /// };
 ///
 /// let mut state = State::new("a@10.0.0.1:80/1");
-/// let effects = state.step(Time(0), &Event::Asked { job: "j".into(), known: true });
+/// let effects = state.step(Time(0), &Event::Requested { job: "j".into(), known: true });
 /// // The job stops before anything is known of the append.
 /// assert_eq!(effects, [Effect::Close("j".into()), Effect::Append("j".into())]);
 /// assert!(state.holds("j"));
@@ -195,8 +198,8 @@
     /// Takes an event in and returns what is to be done.
     pub fn step(&mut self, now: Time, event: &Event) -> Vec<Effect> {
         match event {
-            Event::Asked { job, known } => self.asked(now, job, *known),
-            Event::Told { by, jobs } => self.told(now, by, jobs),
+            Event::Requested { job, known } => self.asked(now, job, *known),
+            Event::Reported { by, jobs } => self.told(now, by, jobs),
             Event::Settled(job) => {
                 self.held.remove(job);
                 vec![]
@@ -318,7 +321,7 @@
             let jobs = self.unconfirmed(member, distance);
             if due && !jobs.is_empty() {
                 self.told_at.insert(member.clone(), now);
-                effects.push(Effect::Tell { member: member.clone(), jobs });
+                effects.push(Effect::Notify { member: member.clone(), jobs });
             }
         }
         effects
--- a/crates/hollywell/src/core/fleet.rs
+++ b/crates/hollywell/src/core/fleet.rs
@@ -25,7 +25,7 @@
 
 /// How long after the store is back a lapsed entry may take to return, in
 /// milliseconds. The platform says about two seconds.
-pub const LAPSE_MS: u64 = 2_500;
+pub const LAPSE_GRACE_MS: u64 = 2_500;
 /// How long the last entry of a target that is gone is remembered, in
 /// milliseconds: longer than a log keeps a record that could be read again.
 const REMEMBER_MS: u64 = 600_000;
@@ -60,7 +60,7 @@
     /// Names this life of the target: a process that has started again is
     /// another one.
     #[must_use]
-    pub fn life(&self) -> String {
+    pub fn incarnation(&self) -> String {
         self.born.map_or_else(|| self.id.clone(), |born| format!("{}/{born}", self.id))
     }
 
@@ -78,9 +78,9 @@
 
 /// What became of an announcement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Heard {
+pub enum AnnounceOutcome {
     /// It holds; the target is new, or the one that was known.
-    Taken,
+    Accepted,
     /// It holds, and the target has started again since it was last heard
     /// of, then at this address: whatever was believed of it is void.
     Restarted(SocketAddr),
@@ -92,13 +92,15 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Target {
     /// Its last announcement, with versions raised by what its answers said.
-    pub said: Announcement,
+    #[serde(rename = "said")]
+    pub announcement: Announcement,
     /// When that was read.
     pub seen_at: Time,
     /// Its entry vanished while the store was away, or soon after.
     pub lapsed: bool,
     /// Its newest entry cannot be understood: it gets nothing new.
-    pub withheld: bool,
+    #[serde(rename = "withheld")]
+    pub invalid_entry: bool,
 }
 
 impl Target {
@@ -106,7 +108,7 @@
     /// as far as it tells.
     #[must_use]
     pub fn may_run(&self, model: &str, min_version: u64) -> bool {
-        self.said.versions.get(model).is_none_or(|version| *version >= min_version)
+        self.announcement.versions.get(model).is_none_or(|version| *version >= min_version)
     }
 }
 
@@ -132,10 +134,12 @@
     /// A target of a known pool has told its start, so all of them do.
     births: bool,
     /// When the store last came back; entries that vanish within
-    /// [`LAPSE_MS`] of it may have lapsed only.
-    pub store_back_at: Option<Time>,
+    /// [`LAPSE_GRACE_MS`] of it may have lapsed only.
+    #[serde(rename = "store_back_at")]
+    pub store_recovered_at: Option<Time>,
     /// The store cannot be reached now.
-    pub store_away: bool,
+    #[serde(rename = "store_away")]
+    pub store_unavailable: bool,
     /// Failure domains whose targets get nothing new.
     #[serde(default)]
     evacuated: BTreeSet<String>,
@@ -144,14 +148,16 @@
 impl Fleet {
     /// Notes an announcement. Within a life versions never go back: a target
     /// that runs a newer one than it announces has just loaded it.
-    pub fn announce(&mut self, now: Time, mut said: Announcement) -> Heard {
+    pub fn announce(&mut self, now: Time, mut said: Announcement) -> AnnounceOutcome {
         let id = said.id.clone();
         let gone = self.gone.get(&id).map(|gone| (gone.address, gone.born, gone.beats));
         let known = self.targets.get(&id);
-        let known = known.map(|known| (known.said.address, known.said.born, known.said.beats));
+        let known = known.map(|known| {
+            (known.announcement.address, known.announcement.born, known.announcement.beats)
+        });
         let before = known.or(gone);
         if before.is_some_and(|(_, born, beats)| said.is_older_than((born, beats))) {
-            return Heard::Outdated;
+            return AnnounceOutcome::Outdated;
         }
         self.skipped.remove(&id);
         self.gone.remove(&id);
@@ -159,22 +165,24 @@
         if restarted.is_none()
             && let Some(before) = self.targets.get(&id)
         {
-            for (model, version) in &before.said.versions {
+            for (model, version) in &before.announcement.versions {
                 let known = said.versions.entry(model.clone()).or_insert(*version);
                 *known = (*known).max(*version);
             }
         }
-        let target = Target { said, seen_at: now, lapsed: false, withheld: false };
+        let target =
+            Target { announcement: said, seen_at: now, lapsed: false, invalid_entry: false };
         self.targets.insert(id, target);
         self.note_births();
-        restarted.map_or(Heard::Taken, |(address, ..)| Heard::Restarted(address))
+        restarted
+            .map_or(AnnounceOutcome::Accepted, |(address, ..)| AnnounceOutcome::Restarted(address))
     }
 
     /// Notes that the newest entry of an id cannot be understood. Returns
     /// whether that is news.
-    pub fn skip(&mut self, id: &str, why: &str) -> bool {
+    pub fn record_invalid(&mut self, id: &str, why: &str) -> bool {
         if let Some(target) = self.targets.get_mut(id) {
-            target.withheld = true;
+            target.invalid_entry = true;
         }
         self.skipped.insert(id.to_owned(), why.to_owned()).is_none_or(|before| before != why)
     }
@@ -191,16 +199,17 @@
     }
 
     fn note_births(&mut self) {
-        let tells =
-            |target: &Target| target.said.born.is_some() && self.is_known_pool(&target.said.pool);
+        let tells = |target: &Target| {
+            target.announcement.born.is_some() && self.is_known_pool(&target.announcement.pool)
+        };
         self.births = self.births || self.targets.values().any(tells);
     }
 
     /// Notes that an entry vanished.
-    pub fn vanish(&mut self, now: Time, id: &str) {
+    pub fn record_expiry(&mut self, now: Time, id: &str) {
         self.skipped.remove(id);
-        let lapse_window =
-            self.store_away || self.store_back_at.is_some_and(|at| now.since(at) < LAPSE_MS);
+        let lapse_window = self.store_unavailable
+            || self.store_recovered_at.is_some_and(|at| now.since(at) < LAPSE_GRACE_MS);
         if !lapse_window {
             self.remove(now, id);
         } else if let Some(target) = self.targets.get_mut(id) {
@@ -209,7 +218,7 @@
     }
 
     fn remove(&mut self, now: Time, id: &str) {
-        if let Some(Target { said, .. }) = self.targets.remove(id) {
+        if let Some(Target { announcement: said, .. }) = self.targets.remove(id) {
             let gone = Gone { address: said.address, born: said.born, beats: said.beats, at: now };
             self.gone.insert(id.to_owned(), gone);
         }
@@ -218,42 +227,43 @@
     /// Notes the start that a target named beside its versions, in a report.
     /// Returns whether it has started again since it was last heard of: then
     /// it holds nothing that it has not told itself since.
-    pub fn started(&mut self, id: &str, born: Option<u64>) -> bool {
+    pub fn record_start(&mut self, id: &str, born: Option<u64>) -> bool {
         let Some(target) = self.targets.get_mut(id) else {
             return false;
         };
-        let is_new = born.is_some_and(|born| target.said.born.is_some_and(|known| born > known));
+        let is_new =
+            born.is_some_and(|born| target.announcement.born.is_some_and(|known| born > known));
         if is_new {
-            target.said.born = born;
-            target.said.beats = 0;
-            target.said.versions.clear();
+            target.announcement.born = born;
+            target.announcement.beats = 0;
+            target.announcement.versions.clear();
         }
         is_new
     }
 
     /// Notes the version that a target's own answer named, in the life that
     /// began at `born`.
-    pub fn answered(&mut self, id: &str, born: Option<u64>, model: &str, version: u64) {
+    pub fn record_version(&mut self, id: &str, born: Option<u64>, model: &str, version: u64) {
         if let Some(target) = self.targets.get_mut(id)
-            && target.said.born == born
+            && target.announcement.born == born
         {
-            let known = target.said.versions.entry(model.to_owned()).or_insert(version);
+            let known = target.announcement.versions.entry(model.to_owned()).or_insert(version);
             *known = (*known).max(version);
         }
     }
 
     /// Notes whether the store can be reached.
-    pub fn store(&mut self, now: Time, away: bool) {
-        if self.store_away && !away {
-            self.store_back_at = Some(now);
+    pub fn record_store_state(&mut self, now: Time, away: bool) {
+        if self.store_unavailable && !away {
+            self.store_recovered_at = Some(now);
         }
-        self.store_away = away;
+        self.store_unavailable = away;
     }
 
     /// Drops lapsed entries once the store has been back for long enough.
     pub fn expire(&mut self, now: Time) {
-        let settled =
-            !self.store_away && self.store_back_at.is_none_or(|at| now.since(at) >= LAPSE_MS);
+        let settled = !self.store_unavailable
+            && self.store_recovered_at.is_none_or(|at| now.since(at) >= LAPSE_GRACE_MS);
         if settled {
             let lapsed = self.targets.iter().filter(|(_, target)| target.lapsed);
             let lapsed: Vec<String> = lapsed.map(|(id, _)| id.clone()).collect();
@@ -265,14 +275,16 @@
     }
 
     /// Targets of configured pools that take new work.
-    pub fn taking(&self) -> impl Iterator<Item = &Target> {
-        let is_ours = |target: &&Target| self.is_known_pool(&target.said.pool);
-        self.targets.values().filter(|target| self.takes(target)).filter(is_ours)
+    pub fn accepting(&self) -> impl Iterator<Item = &Target> {
+        let is_ours = |target: &&Target| self.is_known_pool(&target.announcement.pool);
+        self.targets.values().filter(|target| self.accepts(target)).filter(is_ours)
     }
 
     /// Targets of a configured pool that take new work.
     pub fn usable<'a>(&'a self, pool: &'a str) -> impl Iterator<Item = &'a Target> {
-        self.targets.values().filter(move |target| target.said.pool == pool && self.takes(target))
+        self.targets
+            .values()
+            .filter(move |target| target.announcement.pool == pool && self.accepts(target))
     }
 
     /// Notes whether a failure domain's targets are to get nothing new.
@@ -293,9 +305,9 @@
     /// Whether a target takes new work. Where targets tell their start, one
     /// that does not is not what it says.
     #[must_use]
-    pub fn takes(&self, target: &Target) -> bool {
-        let is_whole = target.said.born.is_some() || !self.births;
-        let is_open = !self.evacuated.contains(&target.said.domain);
-        is_whole && is_open && !target.said.draining && !target.withheld
+    pub fn accepts(&self, target: &Target) -> bool {
+        let is_whole = target.announcement.born.is_some() || !self.births;
+        let is_open = !self.evacuated.contains(&target.announcement.domain);
+        is_whole && is_open && !target.announcement.draining && !target.invalid_entry
     }
 }
--- a/crates/hollywell/src/core/group.rs
+++ b/crates/hollywell/src/core/group.rs
@@ -37,23 +37,23 @@
 /// # Example
 ///
 /// ```
-/// use hollywell::core::group::Census;
+/// use hollywell::core::group::GroupSize;
 ///
-/// let mut census = Census::default();
-/// census.read(2, 384);
-/// assert!(!census.is_settled());
-/// census.read(383, 384);
+/// let mut group_size = GroupSize::default();
+/// group_size.read(2, 384);
+/// assert!(!group_size.is_settled());
+/// group_size.read(383, 384);
 /// // There may be any number of others.
-/// assert!(census.is_settled() && census.is_full());
+/// assert!(group_size.is_settled() && group_size.is_full());
 /// ```
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Census {
+pub struct GroupSize {
     members: Option<usize>,
     full: bool,
     settled: bool,
 }
 
-impl Census {
+impl GroupSize {
     /// Takes a reading over: how many members it shows on how many partitions.
     pub fn read(&mut self, members: usize, partitions: usize) {
         // Of a group that nobody has joined nothing is dealt out.
--- a/crates/hollywell/src/core/poison.rs
+++ b/crates/hollywell/src/core/poison.rs
@@ -101,11 +101,11 @@
 
 /// Targets that a request has ended before it is held back. Targets end for
 /// reasons of their own, now and then two while one request is retried.
-pub const ENOUGH: u32 = 3;
+pub const TARGET_END_LIMIT: u32 = 3;
 /// Ends from which on a request that may or may not be to blame waits before
 /// it is tried again: where several culprits come together all the time, none
 /// stands out, and each end would bring the next.
-const DOUBTFUL: u32 = ENOUGH + 1;
+const DOUBTFUL: u32 = TARGET_END_LIMIT + 1;
 /// How long it waits, in milliseconds, by the ends since then; the last holds
 /// for all further ones. First short, so that what was merely there is served
 /// soon; so spread, it mostly meets no other suspect, and is served or stands
@@ -202,7 +202,7 @@
     }
 
     fn hold_ms(&self) -> u64 {
-        HOLD_MS << self.ends.saturating_sub(ENOUGH).min(HOLD_DOUBLINGS)
+        HOLD_MS << self.ends.saturating_sub(TARGET_END_LIMIT).min(HOLD_DOUBLINGS)
     }
 
     /// How long it waits where it may or may not be to blame; `stands_out` if
@@ -218,7 +218,7 @@
     /// Whether nothing follows from it any more. Who was held back stays
     /// known for as long again, so that one end more is enough.
     fn is_over(&self, now_ms: u64) -> bool {
-        let keep_ms = if self.ends < ENOUGH { SUSPECT_MS } else { 2 * self.hold_ms() };
+        let keep_ms = if self.ends < TARGET_END_LIMIT { SUSPECT_MS } else { 2 * self.hold_ms() };
         now_ms.saturating_sub(self.last_ms) >= keep_ms
     }
 }
@@ -237,11 +237,11 @@
 /// How long a suspect waits for a second sound target, in milliseconds: most
 /// targets that ended are back by then. Where no other comes, the last one is
 /// all there is.
-pub const LAST_SOUND_MS: u64 = 5_000;
+pub const LAST_TARGET_WAIT_MS: u64 = 5_000;
 
 /// How long a suspect waits after an end before it is tried, in milliseconds:
 /// what was at the target that is kept free for it is answered by then.
-pub const SETTLE_MS: u64 = 300;
+pub const PROBE_DELAY_MS: u64 = 300;
 
 /// The target at which a suspect is tried, of those of its pool that are
 /// `sound`: the same one for all instances and all suspects, so that they
@@ -251,16 +251,16 @@
 /// # Example
 ///
 /// ```
-/// use hollywell::core::poison::{LAST_SOUND_MS, trial};
+/// use hollywell::core::poison::{LAST_TARGET_WAIT_MS, probe_target};
 ///
-/// assert_eq!(trial(&["a", "b", "c"], 0), trial(&["c", "b", "a"], 0));
-/// assert_eq!(trial(&["a"], 0), None);
+/// assert_eq!(probe_target(&["a", "b", "c"], 0), probe_target(&["c", "b", "a"], 0));
+/// assert_eq!(probe_target(&["a"], 0), None);
 /// // Nobody else is to be had.
-/// assert_eq!(trial(&["a"], LAST_SOUND_MS), Some("a"));
+/// assert_eq!(probe_target(&["a"], LAST_TARGET_WAIT_MS), Some("a"));
 /// ```
 #[must_use]
-pub fn trial<'a>(sound: &[&'a str], since_end_ms: u64) -> Option<&'a str> {
-    if sound.len() < 2 && since_end_ms < LAST_SOUND_MS {
+pub fn probe_target<'a>(sound: &[&'a str], since_end_ms: u64) -> Option<&'a str> {
+    if sound.len() < 2 && since_end_ms < LAST_TARGET_WAIT_MS {
         return None;
     }
     sound.iter().copied().min_by_key(|id| xxhash_rust::xxh3::xxh3_64(id.as_bytes()))
@@ -276,12 +276,12 @@
 /// let (culprit, other) = (Digest::of(&["/a"], b""), Digest::of(&["/b"], b""));
 /// let mut state = State::default();
 /// for life in ["x/1", "y/1", "x/2"] {
-///     state.ended(1_000, culprit, life);
-///     state.ended(1_000, other, life);
+///     state.record_target_end(1_000, culprit, life);
+///     state.record_target_end(1_000, other, life);
 /// }
 /// // Either may be to blame, until one is answered.
 /// assert_eq!(state.verdict(1_000, culprit), Verdict::Suspect);
-/// state.served(other);
+/// state.record_answer(other);
 /// assert!(matches!(state.verdict(1_000, culprit), Verdict::Held(_)));
 /// assert_eq!(state.verdict(1_000, other), Verdict::Free);
 /// ```
@@ -316,10 +316,11 @@
     /// How long a request is held back since the last end under it.
     fn hold_ms(&self, digest: Digest, case: &Case) -> u64 {
         let by_itself = self.unexplained(digest, case, |_| true);
-        if by_itself >= ENOUGH || self.was_alone(digest, case) {
+        if by_itself >= TARGET_END_LIMIT || self.was_alone(digest, case) {
             return case.hold_ms();
         }
-        let stands_out = self.unexplained(digest, case, |its| its.ends >= case.ends) >= ENOUGH;
+        let stands_out =
+            self.unexplained(digest, case, |its| its.ends >= case.ends) >= TARGET_END_LIMIT;
         case.doubt_ms(stands_out)
     }
 
@@ -332,14 +333,14 @@
         let is_explained = |life: &String| {
             self.cases.iter().any(|(other, its)| *other != digest && explains(its, life))
         };
-        case.ends >= ENOUGH && case.alone.iter().any(|life| !is_explained(life))
+        case.ends >= TARGET_END_LIMIT && case.alone.iter().any(|life| !is_explained(life))
     }
 
     /// How many targets ended under a request without any of those others.
     /// Whoever was there too and is innocent is answered sooner or later, and
     /// then no longer counts.
     fn unexplained(&self, digest: Digest, case: &Case, explains: impl Fn(&Case) -> bool) -> u32 {
-        if case.ends < ENOUGH {
+        if case.ends < TARGET_END_LIMIT {
             return 0;
         }
         let others = self.cases.iter().filter(|(other, its)| {
@@ -358,13 +359,13 @@
 
     /// Notes that a request was at a target when that life of it ended.
     /// Returns whether that is news.
-    pub fn ended(&mut self, now_ms: u64, digest: Digest, life: &str) -> bool {
+    pub fn record_target_end(&mut self, now_ms: u64, digest: Digest, life: &str) -> bool {
         self.note_end(now_ms, digest, life, false)
     }
 
     /// The same for a request that was tried there by itself: what else is
     /// sent to the pool was kept away from that target.
-    pub fn ended_alone(&mut self, now_ms: u64, digest: Digest, life: &str) -> bool {
+    pub fn record_isolated_end(&mut self, now_ms: u64, digest: Digest, life: &str) -> bool {
         self.note_end(now_ms, digest, life, true)
     }
 
@@ -382,13 +383,13 @@
     /// Whether a suspect may be tried soon, so that a target is to be kept
     /// free for it.
     #[must_use]
-    pub fn is_trying(&self, now_ms: u64) -> bool {
+    pub fn has_pending_probe(&self, now_ms: u64) -> bool {
         self.cases.values().any(|case| now_ms.saturating_sub(case.last_ms) < TRYING_MS)
     }
 
     /// Notes that a target has answered a request, or goes on with it.
     /// Returns whether something was known against it.
-    pub fn served(&mut self, digest: Digest) -> bool {
+    pub fn record_answer(&mut self, digest: Digest) -> bool {
         self.cases.remove(&digest).is_some()
     }
 
--- a/crates/hollywell/src/core/relay.rs
+++ b/crates/hollywell/src/core/relay.rs
@@ -124,18 +124,18 @@
 /// # Example
 ///
 /// ```
-/// use hollywell::core::relay::{Demand, Supply, is_crowded};
+/// use hollywell::core::relay::{Demand, Supply, is_overloaded};
 ///
 /// let supply = Supply { reads: 16_000, bytes: 80_000_000 };
 /// let demand = |instances, targets| Demand { instances, targets, beat_ms: 5_000 };
-/// assert!(!is_crowded(supply, demand(13, 15)));
+/// assert!(!is_overloaded(supply, demand(13, 15)));
 /// // 160 MB a second.
-/// assert!(is_crowded(supply, demand(266, 10_000)));
+/// assert!(is_overloaded(supply, demand(266, 10_000)));
 /// // Few targets, but 24,000 calls.
-/// assert!(is_crowded(supply, demand(2_000, 10)));
+/// assert!(is_overloaded(supply, demand(2_000, 10)));
 /// ```
 #[must_use]
-pub fn is_crowded(supply: Supply, demand: Demand) -> bool {
+pub fn is_overloaded(supply: Supply, demand: Demand) -> bool {
     let instances = demand.instances as u64;
     let calls = instances.saturating_mul(READS);
     let entries = (demand.targets as u64).saturating_mul(1_000 * ENTRY_BYTES);
@@ -160,8 +160,8 @@
 /// assert!(all.iter().all(|me| sources(&all, me, false).is_empty()));
 /// ```
 #[must_use]
-pub fn sources<'a>(members: &'a [String], me: &str, is_crowded: bool) -> Vec<&'a str> {
-    if !is_crowded {
+pub fn sources<'a>(members: &'a [String], me: &str, is_overloaded: bool) -> Vec<&'a str> {
+    if !is_overloaded {
         return vec![];
     }
     let line = line(members, me);
@@ -186,8 +186,8 @@
 
 /// Whether others take what they follow from an instance.
 #[must_use]
-pub fn is_source(members: &[String], me: &str, is_crowded: bool) -> bool {
-    is_crowded && is_used(members, me) && sources(members, me, is_crowded).is_empty()
+pub fn is_source(members: &[String], me: &str, is_overloaded: bool) -> bool {
+    is_overloaded && has_relays(members, me) && sources(members, me, is_overloaded).is_empty()
 }
 
 /// The members of an instance's failure domain, in an order that does not
@@ -224,7 +224,7 @@
 /// Whether others may take records from instances of a member's failure
 /// domain.
 #[must_use]
-pub fn is_used(members: &[String], me: &str) -> bool {
+pub fn has_relays(members: &[String], me: &str) -> bool {
     in_domain(members, me) > FEW
 }
 
--- a/crates/hollywell/src/core/roster.rs
+++ b/crates/hollywell/src/core/roster.rs
@@ -16,7 +16,7 @@
     net::SocketAddr,
 };
 
-use crate::core::{fleet::LAPSE_MS, time::Time};
+use crate::core::{fleet::LAPSE_GRACE_MS, time::Time};
 
 /// How long a member must be missing from all readings before it is taken
 /// for gone, in milliseconds: longer than the moment in which work is dealt
@@ -165,7 +165,7 @@
 
     /// Notes whether the group may have members that do not show: then this
     /// instance is one only while it shows.
-    pub fn is_of_full_group(&mut self, full: bool) {
+    pub fn set_group_full(&mut self, full: bool) {
         self.full = full;
     }
 
@@ -178,7 +178,7 @@
         if counts_itself {
             members.push(self.me.clone());
         }
-        let recovering = back_at.is_some_and(|at| now.since(at) < LAPSE_MS);
+        let recovering = back_at.is_some_and(|at| now.since(at) < LAPSE_GRACE_MS);
         let mut missing = BTreeMap::new();
         for member in self.members.iter().filter(|member| !shown.contains(member.as_str())) {
             let since = self.missing.get(member).copied().unwrap_or(now);
--- a/crates/hollywell/src/core/weight_loading.rs
+++ b/crates/hollywell/src/core/weight_loading.rs
@@ -66,7 +66,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Models {
     /// Newest versions.
-    pub named: BTreeMap<String, u64>,
+    pub newest: BTreeMap<String, u64>,
     /// Tokens of a step, as its samples' estimates say.
     pub tokens: BTreeMap<String, u64>,
     /// Samples of a step, the most of the steps seen lately.
@@ -93,7 +93,7 @@
 
 impl Models {
     /// Notes what a step of a model asks for.
-    pub fn asked(&mut self, model: &str, tokens: u64, samples: u64) {
+    pub fn record_step(&mut self, model: &str, tokens: u64, samples: u64) {
         let most = self.samples.entry(model.to_owned()).or_insert(samples);
         // It fades, so that a trainer whose steps got smaller frees engines.
         *most = samples.max(*most - *most / MOST_FADES);
@@ -112,9 +112,10 @@
         let Some(samples) = self.samples.get(model) else {
             return all.len();
         };
-        let places: u64 = all.iter().map(|target| u64::from(target.said.slots.max(1))).sum();
+        let places: u64 =
+            all.iter().map(|target| u64::from(target.announcement.slots.max(1))).sum();
         let each = places as f64 / all.len().max(1) as f64;
-        let domains: BTreeSet<&str> = all.iter().map(|t| t.said.domain.as_str()).collect();
+        let domains: BTreeSet<&str> = all.iter().map(|t| t.announcement.domain.as_str()).collect();
         let left = 1.0 - 1.0 / domains.len().max(2) as f64;
         let needed = 2.0 * *samples as f64 * PLACES / each / left;
         (needed.ceil() as usize).min(all.len())
@@ -126,7 +127,7 @@
     /// share `most`. `None` if they do not hold it.
     fn part(&self, held: &BTreeMap<String, u64>, model: &str, most: f64) -> Option<Part> {
         let tokens = |model: &String| self.tokens.get(model).copied().unwrap_or(1).max(1) as f64;
-        let models = || self.named.keys().filter(|model| held.contains_key(*model));
+        let models = || self.newest.keys().filter(|model| held.contains_key(*model));
         let total: f64 = models().map(tokens).sum();
         let before: f64 = models().take_while(|other| *other != model).map(tokens).sum();
         let own = models().find(|other| *other == model).map(tokens)?;
@@ -137,12 +138,12 @@
     /// them, loads under way counted as done; the most of its steps.
     fn crowd(&self, fleet: &Fleet, under_way: &BTreeMap<String, UnderWay>, model: &str) -> u64 {
         let version = |target: &Target| {
-            let order = under_way.get(&target.said.id).filter(|order| order.model == model);
-            target.said.versions.get(model).copied().max(order.map(|order| order.version))
+            let order = under_way.get(&target.announcement.id).filter(|order| order.model == model);
+            target.announcement.versions.get(model).copied().max(order.map(|order| order.version))
         };
         let places = |step: &Step| -> u64 {
             let fits = |target: &&Target| version(target) >= Some(step.min_version);
-            fleet.taking().filter(fits).map(|target| u64::from(target.said.slots)).sum()
+            fleet.accepting().filter(fits).map(|target| u64::from(target.announcement.slots)).sum()
         };
         let steps = self.steps.get(model).into_iter().flatten();
         steps.map(|step| step.samples * 1_000 / places(step).max(1)).max().unwrap_or(0)
@@ -165,20 +166,20 @@
 /// The engines that keep up a model, with the version that each has: of
 /// those that hold several models, every engine keeps up some.
 fn keepers<'a>(fleet: &'a Fleet, models: &Models, model: &str) -> Vec<(u64, &'a str)> {
-    let holds = |target: &&Target| target.said.versions.contains_key(model);
-    let all: Vec<&Target> = fleet.taking().filter(holds).collect();
+    let holds = |target: &&Target| target.announcement.versions.contains_key(model);
+    let all: Vec<&Target> = fleet.accepting().filter(holds).collect();
     let most = models.engines_needed(&all, model) as f64 / all.len().max(1) as f64;
     let mut keepers = Vec::new();
     // Of thousands of engines nearly all hold the same models.
     let mut before: Option<(&BTreeMap<String, u64>, Option<Part>)> = None;
     for (n, target) in all.iter().enumerate() {
         let place = (n as f64 + 0.5) / all.len() as f64;
-        let held = &target.said.versions;
+        let held = &target.announcement.versions;
         let same = before.filter(|(other, _)| other.keys().eq(held.keys()));
         let part = same.map_or_else(|| models.part(held, model, most), |(_, part)| part);
         before = Some((held, part));
         if part.is_some_and(|part| part.holds(place)) {
-            keepers.push((held[model], target.said.id.as_str()));
+            keepers.push((held[model], target.announcement.id.as_str()));
         }
     }
     keepers
@@ -201,10 +202,10 @@
 
 /// Whether an engine of a failure domain is to load something.
 #[must_use]
-pub fn is_due(domain: &str, models: &Models, fleet: &Fleet) -> bool {
-    models.named.iter().any(|(model, version)| {
+pub fn has_due_load(domain: &str, models: &Models, fleet: &Fleet) -> bool {
+    models.newest.iter().any(|(model, version)| {
         let due = due(fleet, models, model, *version);
-        due.iter().any(|(_, target)| fleet.targets[*target].said.domain == domain)
+        due.iter().any(|(_, target)| fleet.targets[*target].announcement.domain == domain)
     })
 }
 
@@ -246,22 +247,21 @@
         fleet: &Fleet,
         observations: &Observations,
     ) -> Vec<Order> {
-        let engines = fleet
-            .targets
-            .values()
-            .filter(|target| target.said.domain == domain && !target.said.versions.is_empty());
+        let engines = fleet.targets.values().filter(|target| {
+            target.announcement.domain == domain && !target.announcement.versions.is_empty()
+        });
         let at_once = engines.count().div_ceil(LOADING_PART);
         self.under_way.retain(|id, order| {
             let target = fleet.targets.get(id);
-            let has = target.and_then(|target| target.said.versions.get(&order.model));
-            let same_life = target.is_none_or(|target| target.said.born == order.born);
+            let has = target.and_then(|target| target.announcement.versions.get(&order.model));
+            let same_life = target.is_none_or(|target| target.announcement.born == order.born);
             same_life && has < Some(&order.version) && now.since(order.given_at) < ORDER_MS
         });
         let mut wanted = Vec::new();
-        for (model, version) in &models.named {
+        for (model, version) in &models.newest {
             let crowd = models.crowd(fleet, &self.under_way, model);
             for (has, target) in due(fleet, models, model, *version) {
-                let said = &fleet.targets[target].said;
+                let said = &fleet.targets[target].announcement;
                 if said.domain != domain || self.under_way.contains_key(target) {
                     continue;
                 }
@@ -282,7 +282,7 @@
                 break;
             }
             if orders.iter().all(|order| order.target != target) {
-                let born = fleet.targets[&target].said.born;
+                let born = fleet.targets[&target].announcement.born;
                 let order = UnderWay { given_at: now, born, model: model.clone(), version };
                 self.under_way.insert(target.clone(), order);
                 orders.push(Order { target, model, version, born });
@@ -292,7 +292,7 @@
     }
 
     /// Notes that an order was refused or got no answer: it is given again.
-    pub fn failed(&mut self, target: &str) {
+    pub fn order_failed(&mut self, target: &str) {
         self.under_way.remove(target);
     }
 }
--- a/crates/hollywell/src/entry/ends.rs
+++ b/crates/hollywell/src/entry/ends.rs
@@ -56,7 +56,7 @@
             Effect::Append(job) => {
                 tokio::task::spawn_local(append(shared.clone(), job));
             }
-            Effect::Tell { member, jobs } => {
+            Effect::Notify { member, jobs } => {
                 tokio::task::spawn_local(tell_peer(shared.clone(), member, jobs));
             }
         }
@@ -66,7 +66,7 @@
 /// Ends a job for a caller: it stops at once, whatever the store does. The
 /// answer is [`Reply::Done`] only once the store has the end.
 pub async fn ask(shared: &Rc<Shared>, job: &str, known: bool) -> Reply {
-    tell(shared, &Event::Asked { job: job.to_owned(), known });
+    tell(shared, &Event::Requested { job: job.to_owned(), known });
     if !known {
         return Reply::Unknown;
     }
@@ -179,6 +179,6 @@
     };
     log::info!("{by} tells of ends of {}", jobs.join(" "));
     let (_read, open): (Vec<_>, Vec<_>) = jobs.into_iter().partition(|job| is_ended(shared, job));
-    tell(shared, &Event::Told { by, jobs: open });
+    tell(shared, &Event::Reported { by, jobs: open });
     peers::nothing(StatusCode::OK)
 }
--- a/crates/hollywell/src/entry/feed.rs
+++ b/crates/hollywell/src/entry/feed.rs
@@ -227,19 +227,19 @@
 /// the store itself.
 pub(super) fn sources(shared: &Shared) -> Vec<String> {
     let world = shared.world.borrow();
-    let all = relay::sources(world.roster.members(), &shared.me, is_crowded(shared, &world));
+    let all = relay::sources(world.roster.members(), &shared.me, is_overloaded(shared, &world));
     all.into_iter().map(str::to_owned).collect()
 }
 
 /// Whether the store cannot serve all instances.
-fn is_crowded(shared: &Shared, world: &World) -> bool {
+fn is_overloaded(shared: &Shared, world: &World) -> bool {
     let demand = relay::Demand {
         instances: world.roster.members().len(),
         targets: world.fleet.targets.len(),
         beat_ms: u64::try_from(shared.settings.times.beat.as_millis()).unwrap_or(u64::MAX),
     };
     // How many read it is not known where not all show.
-    world.census.is_full() || relay::is_crowded(shared.settings.store.supply, demand)
+    world.group_size.is_full() || relay::is_overloaded(shared.settings.store.supply, demand)
 }
 
 /// Whether this instance follows others.
@@ -263,7 +263,7 @@
 /// Whether others follow this instance.
 pub(super) fn is_source(shared: &Shared) -> bool {
     let world = shared.world.borrow();
-    relay::is_source(world.roster.members(), &shared.me, is_crowded(shared, &world))
+    relay::is_source(world.roster.members(), &shared.me, is_overloaded(shared, &world))
 }
 
 /// Notes what was read of a partition from its beginning, so that only what
@@ -274,7 +274,7 @@
         let world = shared.world.borrow();
         let members = world.roster.members();
         let is_root = relay::parent(members, &shared.me).is_none();
-        if !is_root || !relay::is_used(members, &shared.me) {
+        if !is_root || !relay::has_relays(members, &shared.me) {
             return;
         }
     }
--- a/crates/hollywell/src/entry/follow.rs
+++ b/crates/hollywell/src/entry/follow.rs
@@ -18,7 +18,7 @@
 use crate::{
     core::{
         batch::Record,
-        fleet::{Announcement, Heard},
+        fleet::{AnnounceOutcome, Announcement},
         time::Time,
     },
     entry::{
@@ -301,7 +301,7 @@
                         records.records.iter().map(|record| record.key.as_str()).collect();
                     let ids: Vec<String> = world.fleet.targets.keys().cloned().collect();
                     for id in ids.iter().filter(|id| !listed.contains(id.as_str())) {
-                        world.fleet.vanish(now, id);
+                        world.fleet.record_expiry(now, id);
                     }
                 }
                 for record in &records.records {
@@ -320,14 +320,14 @@
     let id = &record.key;
     let Some(value) = &record.value else {
         log::info!("target {id} vanished");
-        world.fleet.vanish(now, id);
+        world.fleet.record_expiry(now, id);
         return;
     };
     match (shared.dialect.announcement)(id, value) {
         Ok(said) => announced(shared, world, now, said),
         Err(why) => {
             shared.meters.entries_skipped.inc();
-            if world.fleet.skip(id, &why) {
+            if world.fleet.record_invalid(id, &why) {
                 log::warn!("entry of {id} names no target to use: {why}");
             }
         }
@@ -337,9 +337,9 @@
 fn announced(shared: &Shared, world: &mut World, now: Time, said: Announcement) {
     let (id, born) = (said.id.clone(), said.born);
     match world.fleet.announce(now, said) {
-        Heard::Taken => {}
-        Heard::Outdated => log::info!("entry of {id}, start {born:?}, is out of date"),
-        Heard::Restarted(address) => shared.restarted(world, &id, address),
+        AnnounceOutcome::Accepted => {}
+        AnnounceOutcome::Outdated => log::info!("entry of {id}, start {born:?}, is out of date"),
+        AnnounceOutcome::Restarted(address) => shared.restarted(world, &id, address),
     }
 }
 
--- a/crates/hollywell/src/entry/forward.rs
+++ b/crates/hollywell/src/entry/forward.rs
@@ -20,7 +20,7 @@
     core::{
         admission,
         choice::Need,
-        configuration::{Repeat, Route},
+        configuration::{Route, RouteKind},
         fleet::Announcement,
         poison::{Digest, Verdict as Blame},
         time::Time,
@@ -180,7 +180,7 @@
     /// Whether another target may be asked.
     fn may_go_on(&self, route: &Route) -> bool {
         let tried = u32::try_from(self.tried.len()).unwrap_or(u32::MAX);
-        let is_safe = route.repeat == Repeat::Safe || !self.ran;
+        let is_safe = route.kind == RouteKind::Idempotent || !self.ran;
         tried < route.attempts.max(1) && self.ends < MOST_ENDS && is_safe
     }
 
@@ -198,7 +198,7 @@
             Sent::Answered(whole) => {
                 self.ran = true;
                 let is_failure = whole.status == StatusCode::INTERNAL_SERVER_ERROR;
-                if !is_failure || route.repeat != Repeat::Safe {
+                if !is_failure || route.kind != RouteKind::Idempotent {
                     return Some(whole);
                 }
                 self.failure = Some(whole);
@@ -276,8 +276,8 @@
             continue;
         };
         let last = attempt.tried.len() + 1 >= route.attempts.max(1) as usize;
-        let limit_ms = match route.repeat {
-            Repeat::Safe if !last => patience(route).min(left_ms),
+        let limit_ms = match route.kind {
+            RouteKind::Idempotent if !last => patience(route).min(left_ms),
             _ => left_ms,
         };
         let began = plain.began.get();
@@ -292,7 +292,7 @@
         }
         if let Sent::Answered(_) = &sent {
             let took_ms = shared.now().since(now);
-            shared.world.borrow_mut().observations.answered(&target.id, took_ms);
+            shared.world.borrow_mut().observations.record_answer_time(&target.id, took_ms);
         }
         if let Some(whole) = attempt.note(route, target.id, sent) {
             return Verdict::Answered(whole);
@@ -310,8 +310,8 @@
 fn situation(shared: &Shared, route: &Route, salt: u64, left_ms: u64) -> admission::Situation {
     let world = shared.world.borrow();
     let pool = pick_pool(route, salt).unwrap_or("");
-    let usable = || world.fleet.usable(pool).map(|target| target.said.id.as_str());
-    let answers = usable().filter_map(|id| world.observations.of(id)?.answer_ms);
+    let usable = || world.fleet.usable(pool).map(|target| target.announcement.id.as_str());
+    let answers = usable().filter_map(|id| world.observations.get(id)?.answer_ms);
     let usual_ms = answers.min_by(f64::total_cmp).map(|ms| ms as u64);
     admission::Situation { known: world.fleet_known, usable: usable().count(), usual_ms, left_ms }
 }
@@ -324,14 +324,14 @@
     let world = shared.world.borrow();
     let pool = pick_pool(route, salt)?;
     let now = shared.now();
-    let all = || world.fleet.usable(pool).map(|target| &target.said);
+    let all = || world.fleet.usable(pool).map(|target| &target.announcement);
     let reserved = suspects::reserved(shared, pool);
     let is_reserved = |target: &Announcement| reserved.as_ref() == Some(&target.id);
     let fresh = all().filter(|target| !tried.contains(&target.id) && !is_reserved(target));
     // Instances that know nothing of any target must not all pick the same.
     let mine = xxhash_rust::xxh3::xxh3_64(shared.me.as_bytes());
     let salt = mine ^ salt.wrapping_add(tried.len() as u64);
-    let need = Need { events: 1.0, most_load: MOST_LOAD, sharers: 1.0, salt };
+    let need = Need { events: 1.0, max_load: MOST_LOAD, instances: 1.0, salt };
     let choice = world.observations.choose(now, fresh, need);
     // Where every other one was asked or is avoided, one that was asked
     // before is better than nobody: the request's time is running.
@@ -385,7 +385,7 @@
 
 async fn send(shared: &Rc<Shared>, route: &Route, trip: &Trip<'_>) -> Sent {
     let &Trip { plain, target, limit_ms, left_ms, .. } = trip;
-    shared.world.borrow_mut().observations.sent(&target.id);
+    shared.world.borrow_mut().observations.request_started(&target.id);
     let _count = Counted { shared, id: &target.id };
     let limit = Duration::from_millis(limit_ms);
     let started = shared.now();
@@ -401,7 +401,7 @@
     // A kept connection that had ended says nothing about a target that
     // lives; what may be repeated goes out again at once, on another one.
     let may_have_run = matches!(answer, Err(Error::Stale));
-    if may_have_run && route.repeat == Repeat::Safe {
+    if may_have_run && route.kind == RouteKind::Idempotent {
         note_unanswered(shared, plain, target, &Error::Stale);
         if look(shared, trip).await {
             return Sent::Ended;
@@ -427,7 +427,7 @@
             note_unanswered(shared, plain, target, &error);
             if error != Error::Stale {
                 let now = shared.now();
-                shared.world.borrow_mut().observations.broke(now, &target.id);
+                shared.world.borrow_mut().observations.record_failure(now, &target.id);
             }
             if error.is_not_sent() {
                 // The send before it may have run.
@@ -442,7 +442,7 @@
 /// other targets and instances.
 fn note_unanswered(shared: &Shared, plain: &Plain, target: &Announcement, error: &Error) {
     shared.meters.unanswered.with_label_values(&[error.as_str()]).inc();
-    let life = target.life();
+    let life = target.incarnation();
     log::info!("request {} ({}) at {life}: {error}", plain.id, plain.digest());
 }
 
@@ -456,7 +456,7 @@
 impl Drop for Counted<'_> {
     fn drop(&mut self) {
         let now = self.shared.now();
-        self.shared.world.borrow_mut().observations.ended(now, self.id);
+        self.shared.world.borrow_mut().observations.request_ended(now, self.id);
     }
 }
 
@@ -465,13 +465,13 @@
     let names = &shared.dialect.headers;
     let now = shared.now();
     if let Some(load) = answer.header(&names.load).and_then(shared.dialect.load) {
-        shared.world.borrow_mut().observations.load(now, &target.id, load);
+        shared.world.borrow_mut().observations.record_load(now, &target.id, load);
     }
     let status = answer.head.status;
     let not_run = answer.head.headers.contains_key(&names.not_run)
         || status == StatusCode::MISDIRECTED_REQUEST;
     if not_run {
-        shared.world.borrow_mut().observations.full(now, &target.id);
+        shared.world.borrow_mut().observations.record_refusal(now, &target.id);
         log::debug!("request {} at {}: not run, {status}", plain.id, target.id);
         return Sent::NotRun;
     }
@@ -489,7 +489,7 @@
             for name in HOP_BY_HOP.iter().chain([&header::CONTENT_LENGTH]) {
                 headers.remove(name);
             }
-            shared.world.borrow_mut().observations.sound(now, &target.id);
+            shared.world.borrow_mut().observations.record_success(now, &target.id);
             suspects::served(shared, || plain.digest());
             Sent::Answered(Whole { status, headers, body })
         }
@@ -508,7 +508,8 @@
 
 /// Whether the target has ended under a send.
 async fn look(shared: &Rc<Shared>, trip: &Trip<'_>) -> bool {
-    let mine = shared.world.borrow().observations.of(&trip.target.id).map(|seen| seen.mine);
+    let mine =
+        shared.world.borrow().observations.get(&trip.target.id).map(|seen| seen.own_requests);
     let is_alone = trip.is_trial && mine == Some(1);
     suspects::look(shared, trip.target, trip.plain.digest(), is_alone).await
 }
--- a/crates/hollywell/src/entry/ingress.rs
+++ b/crates/hollywell/src/entry/ingress.rs
@@ -19,7 +19,7 @@
 
 use crate::{
     core::{
-        configuration::{Configuration, Repeat, Route},
+        configuration::{Configuration, Route, RouteKind},
         time::Time,
     },
     entry::{
@@ -200,7 +200,7 @@
         && world.plan.is_some()
         && world.poison_known
         && world.fleet_known
-        && !world.fleet.store_away
+        && !world.fleet.store_unavailable
 }
 
 /// All meters as text.
@@ -273,7 +273,7 @@
     let Some(id) = id.map(str::to_owned) else {
         return refuse(shared, Kind::Malformed);
     };
-    if route.repeat == Repeat::Batch {
+    if route.kind == RouteKind::Batch {
         return submit(shared, &caller, &id, &host, head.uri.path(), &body).await;
     }
     let timeout_ms = if route.timeout_ms == 0 { DEADLINE_MS } else { route.timeout_ms };
--- a/crates/hollywell/src/entry/member.rs
+++ b/crates/hollywell/src/entry/member.rs
@@ -164,7 +164,7 @@
 async fn pause(shared: &Shared) {
     let is_unsettled = {
         let world = shared.world.borrow();
-        world.roster.is_unsettled() || !world.census.is_settled()
+        world.roster.is_unsettled() || !world.group_size.is_settled()
     };
     // A reading lists every partition, and all readers share the store.
     let crowd = (feed::readers(shared) as f64 / LOOK_MEMBERS).max(1.0);
@@ -180,9 +180,9 @@
 fn note(shared: &Shared, listing: &Listing) {
     let is_full = {
         let world = &mut *shared.world.borrow_mut();
-        world.census.read(listing.members.len(), listing.partitions);
-        let is_full = world.census.is_full();
-        world.roster.is_of_full_group(is_full);
+        world.group_size.read(listing.members.len(), listing.partitions);
+        let is_full = world.group_size.is_full();
+        world.roster.set_group_full(is_full);
         is_full
     };
     if is_full && !shared.membership.full.replace(true) {
@@ -194,7 +194,7 @@
 /// Takes the members from an instance that reads them for others; returns
 /// whether that went well.
 async fn follow(shared: &Rc<Shared>) -> bool {
-    if !shared.world.borrow().census.is_settled() {
+    if !shared.world.borrow().group_size.is_settled() {
         return false;
     }
     for source in feed::sources(shared) {
@@ -203,7 +203,7 @@
             Ok(word) => {
                 let known = {
                     let world = &mut *shared.world.borrow_mut();
-                    world.roster.is_of_full_group(word.full);
+                    world.roster.set_group_full(word.full);
                     world.roster.members().to_vec()
                 };
                 let members = if word.members.is_empty() { known } else { word.members };
@@ -248,7 +248,7 @@
         };
         let (members, full) = {
             let world = shared.world.borrow();
-            (world.roster.members().to_vec(), world.census.is_full())
+            (world.roster.members().to_vec(), world.group_size.is_full())
         };
         let (mark, age_ms) = (mark(&members), shared.now().since(known_at));
         if mark != known {
@@ -279,7 +279,7 @@
     let (before, changed) = {
         let world = &mut *shared.world.borrow_mut();
         let before = world.roster.members().to_vec();
-        let changed = world.roster.read(now, read, world.fleet.store_back_at);
+        let changed = world.roster.read(now, read, world.fleet.store_recovered_at);
         (before, changed.then(|| world.roster.members().to_vec()))
     };
     shared.membership.known_at.set(Some(asked_at));
--- a/crates/hollywell/src/entry/orders.rs
+++ b/crates/hollywell/src/entry/orders.rs
@@ -87,7 +87,7 @@
     }
     {
         let world = shared.world.borrow();
-        office.lease.want(weight_loading::is_due(domain, &world.models, &world.fleet));
+        office.lease.want(weight_loading::has_due_load(domain, &world.models, &world.fleet));
     }
     // Orders may be given only if a call started now ends within the lease.
     if office.lease.fence(shared, CALL).is_none() {
@@ -121,7 +121,7 @@
 
 async fn carry_out(shared: Rc<Shared>, office: Rc<Office>, order: Order) {
     let Some(report) = report(&shared, &order.target).await else {
-        office.roll.borrow_mut().failed(&order.target);
+        office.roll.borrow_mut().order_failed(&order.target);
         return;
     };
     note(&shared, &order, &report);
@@ -155,7 +155,7 @@
             // An order without an answer may still be carried out: the next
             // report tells.
             sleep(LOADED_PAUSE).await;
-            office.roll.borrow_mut().failed(&order.target);
+            office.roll.borrow_mut().order_failed(&order.target);
             return;
         }
     }
@@ -170,19 +170,20 @@
         }
         sleep(LOADED_PAUSE).await;
     }
-    office.roll.borrow_mut().failed(&order.target);
+    office.roll.borrow_mut().order_failed(&order.target);
 }
 
 fn note(shared: &Shared, order: &Order, report: &crate::entry::dialect::Report) {
     let world = &mut *shared.world.borrow_mut();
-    if world.fleet.started(&order.target, report.born)
-        && let Some(address) = world.fleet.targets.get(&order.target).map(|t| t.said.address)
+    if world.fleet.record_start(&order.target, report.born)
+        && let Some(address) =
+            world.fleet.targets.get(&order.target).map(|t| t.announcement.address)
     {
         shared.restarted(world, &order.target, address);
     }
-    let born = world.fleet.targets.get(&order.target).and_then(|target| target.said.born);
+    let born = world.fleet.targets.get(&order.target).and_then(|target| target.announcement.born);
     for (model, version) in &report.versions {
-        world.fleet.answered(&order.target, born, model, *version);
+        world.fleet.record_version(&order.target, born, model, *version);
     }
 }
 
@@ -210,7 +211,7 @@
 ) -> Option<(http::StatusCode, Bytes)> {
     let address = {
         let world = shared.world.borrow();
-        world.fleet.targets.get(target).map(|target| target.said.address)
+        world.fleet.targets.get(target).map(|target| target.announcement.address)
     }?;
     let request = Request::builder()
         .method(method)
--- a/crates/hollywell/src/entry/plans.rs
+++ b/crates/hollywell/src/entry/plans.rs
@@ -69,7 +69,7 @@
 /// Takes over which weights of a model are the newest.
 pub(super) fn named(shared: &Shared, model: &str, version: u64) {
     let mut world = shared.world.borrow_mut();
-    let named = world.models.named.entry(model.to_owned()).or_insert(0);
+    let named = world.models.newest.entry(model.to_owned()).or_insert(0);
     if *named < version {
         *named = version;
         log::info!("model {model} is named version {version}");
@@ -175,7 +175,7 @@
     let version = world.plan.as_ref().map_or(0, |plan| plan.version);
     let plan = world.plan.as_deref().filter(|plan| plan.version > have).cloned();
     let evacuated = Some(world.fleet.evacuated().clone());
-    let word = Word { age_ms, version, plan, named: world.models.named.clone(), evacuated };
+    let word = Word { age_ms, version, plan, named: world.models.newest.clone(), evacuated };
     match serde_json::to_vec(&word) {
         Ok(bytes) => Response::new(Full::new(bytes.into())),
         Err(error) => {
--- a/crates/hollywell/src/entry/relay.rs
+++ b/crates/hollywell/src/entry/relay.rs
@@ -139,7 +139,7 @@
 /// Keeps a partition's newest records, so old by now, for others of the
 /// failure domain.
 pub fn keep(shared: &Shared, part: &Part, read: &Records, age_ms: u64) {
-    if relay::is_used(shared.world.borrow().roster.members(), &shared.me) {
+    if relay::has_relays(shared.world.borrow().roster.members(), &shared.me) {
         let body = Bytes::from(Snapshot::new(read).encode_to_vec());
         let kept = Kept { body, age_ms, kept_at: shared.now() };
         shared.relay.kept.borrow_mut().insert(part.clone(), kept);
@@ -190,7 +190,7 @@
     loop {
         let (is_settled, is_known) = {
             let world = shared.world.borrow();
-            (world.census.is_settled(), !world.roster.members().is_empty())
+            (world.group_size.is_settled(), !world.roster.members().is_empty())
         };
         let most = if is_known { SETTLED } else { MEMBERS };
         if is_settled || started.elapsed() >= most {
--- a/crates/hollywell/src/entry/room.rs
+++ b/crates/hollywell/src/entry/room.rs
@@ -74,11 +74,11 @@
     let tokens: u64 = jobs().map(Job::tokens_to_come).sum();
     let samples = jobs().filter(|job| !job.ended).map(|job| job.done.len() - job.listed.len());
     let outcomes = samples.sum::<usize>() as u64 * OUTCOME_BYTES;
-    let most = world.room.log_most(2 * world.shelves.len());
+    let most = world.capacity.max_log_bytes(2 * world.shelves.len());
     let own = world.shelves.iter().flat_map(|shelf| &shelf.logs).map(|log| log.bytes(most));
     let logs = own.sum::<u64>() + others;
-    world.room.seen(now, live, logs, (tokens as f64 * ratio) as u64 + outcomes);
-    shared.meters.used.set(i64::try_from(world.room.used()).unwrap_or(i64::MAX));
+    world.capacity.update(now, live, logs, (tokens as f64 * ratio) as u64 + outcomes);
+    shared.meters.used.set(i64::try_from(world.capacity.used()).unwrap_or(i64::MAX));
     ratio
 }
 
@@ -86,11 +86,11 @@
 fn tell(shared: &Shared, tight: &mut bool) {
     let now = shared.now();
     let world = shared.world.borrow();
-    let allowed = world.room.allows(now, Purpose::Manifest, 0);
+    let allowed = world.capacity.allows(now, Purpose::Manifest, 0);
     if *tight == allowed {
         *tight = !allowed;
-        let (used, room) = (world.room.used(), world.room.room());
-        let full = world.room.is_full(now);
+        let (used, room) = (world.capacity.used(), world.capacity.total());
+        let full = world.capacity.is_full(now);
         if allowed {
             log::info!("store has room again: {used} of {room} bytes known to be used");
         } else {
@@ -114,7 +114,7 @@
         bytes += (f64::from(sample.tokens_hint) * ratio) as u64;
     }
     let next_drop_ms = next_drop_ms(shared);
-    shared.world.borrow().room.admit(shared.now(), bytes, next_drop_ms)
+    shared.world.borrow().capacity.admit(shared.now(), bytes, next_drop_ms)
 }
 
 /// In how many milliseconds the records of a job will be dropped next.
@@ -154,16 +154,16 @@
     let now = shared.now();
     let world = shared.world.borrow();
     let members = world.roster.members();
-    let most = world.room.log_most(2 * world.shelves.len());
-    let full = world.room.is_full(now);
+    let most = world.capacity.max_log_bytes(2 * world.shelves.len());
+    let full = world.capacity.is_full(now);
     // Jobs have followers, which would have to begin anew; texts are found by
     // their keys as well.
-    let young_ms = if at == 0 { capacity::LEAST_MS } else { FULL_TEXTS_MS };
+    let young_ms = if at == 0 { capacity::MIN_LOG_AGE_MS } else { FULL_TEXTS_MS };
     let log = &world.shelves[part].logs[at];
     let mine = owner(members, &format!("trim {part}"), "") == Some(shared.me.as_str());
     let late = log.bytes(0) > most + most / 2;
     let lucky = (full || late) && rand::random_bool((HELPERS / members.len() as f64).min(1.0));
-    let before = log.cut(now, most, full.then_some(young_ms))?;
+    let before = log.trim_offset(now, most, full.then_some(young_ms))?;
     (mine || lucky).then_some((before, full))
 }
 
--- a/crates/hollywell/src/entry/run.rs
+++ b/crates/hollywell/src/entry/run.rs
@@ -67,7 +67,7 @@
 pub fn start(shared: &Rc<Shared>, run: Run, slot: Slot, target: &str, priority: u8) {
     let said = {
         let world = shared.world.borrow();
-        world.fleet.targets.get(target).map(|target| target.said.clone())
+        world.fleet.targets.get(target).map(|target| target.announcement.clone())
     };
     let Some(said) = said else {
         let shared = shared.clone();
@@ -206,7 +206,7 @@
     let headers = &shared.dialect.headers;
     if let Some(load) = answer.header(&headers.load).and_then(shared.dialect.load) {
         let now = shared.now();
-        shared.world.borrow_mut().observations.load(now, &target.id, load);
+        shared.world.borrow_mut().observations.record_load(now, &target.id, load);
     }
     match answer.head.status {
         StatusCode::OK => stream(shared, run, slot, target, digest, answer).await,
@@ -273,7 +273,7 @@
     /// Notes that the target has a version of the model.
     fn saw(&self, version: u64) {
         let Announcement { id, born, .. } = self.target;
-        self.shared.world.borrow_mut().fleet.answered(id, *born, &self.model, version);
+        self.shared.world.borrow_mut().fleet.record_version(id, *born, &self.model, version);
     }
 
     /// Takes one whole event into the sample's text. `version` is the one
@@ -300,7 +300,7 @@
             text.take(&piece, version);
         }
         suspects::served(self.shared, || self.digest);
-        self.shared.tell(&Event::Piece { run: self.run });
+        self.shared.tell(&Event::StreamEvent { run: self.run });
         Ok(())
     }
 }
@@ -343,7 +343,7 @@
     if version.is_some_and(|version| version < context.min_version) {
         return Err(End::WrongVersion);
     }
-    context.shared.tell(&Event::Head { run: context.run });
+    context.shared.tell(&Event::AnswerStarted { run: context.run });
     let mut cutter = Cutter::default();
     while let Some(data) = answer.chunk().await.map_err(|error| context.broken(&error))? {
         cutter.push(&data);
--- a/crates/hollywell/src/entry/serve.rs
+++ b/crates/hollywell/src/entry/serve.rs
@@ -20,7 +20,7 @@
 use crate::{
     clock::Clock,
     core::{
-        capacity, choice::Observations, dispatch, ending, fleet::Fleet, group::Census, poison,
+        capacity, choice::Observations, dispatch, ending, fleet::Fleet, group::GroupSize, poison,
         roster::Roster,
     },
     entry::{
@@ -100,11 +100,11 @@
         plan_at: None,
         fleet: Fleet::default(),
         observations: Observations::default(),
-        dispatch: dispatch::State::new(&me).within(&settings.domain),
+        dispatch: dispatch::State::new(&me).in_domain(&settings.domain),
         ending: ending::State::new(&me),
         poison: poison::State::default(),
         poison_known: false,
-        room: capacity::State::new(settings.store.room_bytes),
+        capacity: capacity::State::new(settings.store.room_bytes),
         others: std::collections::HashMap::new(),
         shelves: (0..parts).map(|_| Shelf::default()).collect(),
         models: crate::core::weight_loading::Models::default(),
@@ -113,7 +113,7 @@
         runs: std::collections::HashMap::new(),
         unopened: vec![],
         roster: Roster::new(&me),
-        census: Census::default(),
+        group_size: GroupSize::default(),
         store_bad_since: None,
         fleet_known: false,
         stopping: false,
--- a/crates/hollywell/src/entry/shared.rs
+++ b/crates/hollywell/src/entry/shared.rs
@@ -20,11 +20,11 @@
         batch::{self, Book, Bundle, Change, Record, Written},
         capacity,
         choice::Observations,
-        configuration::{Configuration, Repeat},
+        configuration::{Configuration, RouteKind},
         dispatch::{self, Effect, Event, Run, Slot, Work},
         ending,
         fleet::{Announcement, Fleet},
-        group::Census,
+        group::GroupSize,
         poison,
         roster::Roster,
         time::Time,
@@ -94,7 +94,7 @@
     fn is_stale(&self, now: Time, fleet: &Fleet) -> bool {
         match self.read_at {
             None => self.loaded,
-            Some(read_at) => !fleet.store_away && now.since(read_at) > STALE_MS,
+            Some(read_at) => !fleet.store_unavailable && now.since(read_at) > STALE_MS,
         }
     }
 
@@ -102,8 +102,8 @@
     fn note(&mut self, now: Time) {
         let written = self.book.written;
         let before = std::mem::replace(&mut self.noted, written);
-        self.logs[0].note(now, self.next, written.jobs - before.jobs);
-        self.logs[1].note(now, written.texts_end, written.texts - before.texts);
+        self.logs[0].record(now, self.next, written.jobs - before.jobs);
+        self.logs[1].record(now, written.texts_end, written.texts - before.texts);
     }
 }
 
@@ -128,7 +128,7 @@
     /// What others know against requests was read.
     pub poison_known: bool,
     /// What is known of the store's room.
-    pub room: capacity::State,
+    pub capacity: capacity::State,
     /// Logs that others write to: the operator, the targets, all instances.
     pub others: HashMap<Part, capacity::Log>,
     /// Batch jobs, by partition.
@@ -146,7 +146,7 @@
     /// Live instances.
     pub roster: Roster,
     /// How many of them there are, as far as the store shows.
-    pub census: Census,
+    pub group_size: GroupSize,
     /// Since when it has failed, if the last call failed.
     pub store_bad_since: Option<Time>,
     /// Targets were read to the end of their topic.
@@ -275,7 +275,7 @@
         let mut world = self.world.borrow_mut();
         if well {
             let since = world.store_bad_since.take();
-            world.fleet.store(now, false);
+            world.fleet.record_store_state(now, false);
             self.reader.store_is_away(false);
             if since.is_some_and(|since| now.since(since) > AWAY_MS) {
                 log::info!("store regained");
@@ -284,10 +284,10 @@
         }
         let since = *world.store_bad_since.get_or_insert(now);
         let away = now.since(since) > AWAY_MS;
-        if away && !world.fleet.store_away {
+        if away && !world.fleet.store_unavailable {
             log::warn!("store lost: no good answer for {} ms", now.since(since));
         }
-        world.fleet.store(now, away);
+        world.fleet.record_store_state(now, away);
         self.reader.store_is_away(away);
     }
 
@@ -300,7 +300,7 @@
     pub async fn append(&self, append: Append) -> Result<Appended, Fault> {
         let (purpose, bytes) = (append.purpose.as_str(), append.bytes());
         let stored = append.stored();
-        let allowed = self.world.borrow().room.allows(self.now(), append.purpose, stored);
+        let allowed = self.world.borrow().capacity.allows(self.now(), append.purpose, stored);
         if !allowed {
             self.meters.unstored.with_label_values(&[purpose, "kept_back"]).inc();
             return Err(Fault::Full);
@@ -310,14 +310,14 @@
         self.store_did(matches!(appended, Ok(_) | Err(Fault::Full | Fault::Moved(_))));
         match &appended {
             Ok(_) => {
-                self.world.borrow_mut().room.appended(stored);
+                self.world.borrow_mut().capacity.appended(stored);
                 let bytes = u64::try_from(bytes).unwrap_or(u64::MAX);
                 self.meters.stored.with_label_values(&[purpose]).inc_by(bytes);
             }
             Err(fault) => {
                 if *fault == Fault::Full {
                     let now = self.now();
-                    self.world.borrow_mut().room.refused(now);
+                    self.world.borrow_mut().capacity.record_refusal(now);
                 }
                 self.meters.unstored.with_label_values(&[purpose, fault.as_str()]).inc();
             }
@@ -330,7 +330,7 @@
     /// runs are moved by the reducer.
     pub fn restarted(&self, world: &mut World, id: &str, address: std::net::SocketAddr) {
         log::info!("target {id}, at {address}, has started again");
-        world.observations.forget(id);
+        world.observations.reset(id);
         self.pool.forget(address);
     }
 
@@ -392,7 +392,7 @@
         let last = read.records.last().map_or(0, |record| record.offset + 1);
         let now = self.now();
         let mut world = self.world.borrow_mut();
-        world.others.entry(part.clone()).or_default().note(now, last, written);
+        world.others.entry(part.clone()).or_default().record(now, last, written);
     }
 
     /// Folds records of a partition of jobs, skipping those folded before.
@@ -504,7 +504,7 @@
             }
             let plan = world.plan.clone();
             let route = plan.as_ref().and_then(|plan| plan.route(&job.head.host, &job.head.path));
-            let Some(route) = route.filter(|route| route.repeat == Repeat::Batch) else {
+            let Some(route) = route.filter(|route| route.kind == RouteKind::Batch) else {
                 world.unopened.push(id);
                 return;
             };
@@ -522,7 +522,7 @@
                 done: job.done.clone(),
             };
             let tokens = head.samples.iter().map(|sample| u64::from(sample.tokens)).sum();
-            world.models.asked(&head.model, tokens, head.samples.len() as u64);
+            world.models.record_step(&head.model, tokens, head.samples.len() as u64);
             work.samples = carry::items(&mut world.shelves, part, &work.job, &head);
             work
         };
--- a/crates/hollywell/src/entry/suspects.rs
+++ b/crates/hollywell/src/entry/suspects.rs
@@ -127,34 +127,34 @@
 pub fn trial(shared: &Shared, pool: &str, digest: Digest) -> Trial {
     let (now, world) = (shared.now(), shared.world.borrow());
     let since_ms = world.poison.since_end_ms(wall_ms(), digest).unwrap_or(u64::MAX);
-    let id = poison::trial(&sound(&world, now, pool), since_ms);
+    let id = poison::probe_target(&sound(&world, now, pool), since_ms);
     match id.and_then(|id| world.fleet.targets.get(id)) {
-        Some(target) => Trial::At(Box::new(target.said.clone())),
+        Some(target) => Trial::At(Box::new(target.announcement.clone())),
         None => Trial::Nowhere,
     }
 }
 
 /// A pool's targets at which no exchange broke a moment ago.
 fn sound<'a>(world: &'a World, now: Time, pool: &'a str) -> Vec<&'a str> {
-    let all = world.fleet.usable(pool).map(|target| target.said.id.as_str());
-    all.filter(|id| !world.observations.is_broken(now, id)).collect()
+    let all = world.fleet.usable(pool).map(|target| target.announcement.id.as_str());
+    all.filter(|id| !world.observations.has_failed_recently(now, id)).collect()
 }
 
 /// Whether a suspect's last end is so long ago that it is alone where it is
 /// tried.
 pub fn is_settled(shared: &Shared, digest: Digest) -> bool {
     let since_ms = shared.world.borrow().poison.since_end_ms(wall_ms(), digest);
-    since_ms.is_none_or(|since_ms| since_ms >= poison::SETTLE_MS)
+    since_ms.is_none_or(|since_ms| since_ms >= poison::PROBE_DELAY_MS)
 }
 
 /// The target of a pool that is kept free for suspects, while any may be
 /// tried soon.
 pub fn reserved(shared: &Shared, pool: &str) -> Option<String> {
     let (now, world) = (shared.now(), shared.world.borrow());
-    if !world.poison.is_trying(wall_ms()) {
+    if !world.poison.has_pending_probe(wall_ms()) {
         return None;
     }
-    poison::trial(&sound(&world, now, pool), 0).map(str::to_owned)
+    poison::probe_target(&sound(&world, now, pool), 0).map(str::to_owned)
 }
 
 /// The turn to try a suspect at a pool, which one of all instances has at a
@@ -246,12 +246,12 @@
     if !shared.pool.has_ended(target.address).await {
         return false;
     }
-    let life = target.life();
+    let life = target.incarnation();
     let (is_news, verdict) = {
         let mut world = shared.world.borrow_mut();
         let is_news = match is_alone {
-            true => world.poison.ended_alone(wall_ms(), digest, &life),
-            false => world.poison.ended(wall_ms(), digest, &life),
+            true => world.poison.record_isolated_end(wall_ms(), digest, &life),
+            false => world.poison.record_target_end(wall_ms(), digest, &life),
         };
         (is_news, world.poison.verdict(wall_ms(), digest))
     };
@@ -271,7 +271,7 @@
             return;
         }
         let digest = digest();
-        world.poison.served(digest).then_some(digest)
+        world.poison.record_answer(digest).then_some(digest)
     };
     if let Some(digest) = known {
         log::info!("{digest} was served: nothing is held against it");
@@ -362,7 +362,7 @@
     let mut world = shared.world.borrow_mut();
     let taken = key.parse::<Digest>().and_then(|digest| {
         if record.is_empty() {
-            world.poison.served(digest);
+            world.poison.record_answer(digest);
             return Ok(());
         }
         world.poison.read(wall_ms(), digest, record)
--- a/crates/hollywell/tests/dispatch.rs
+++ b/crates/hollywell/tests/dispatch.rs
@@ -7,7 +7,7 @@
 
 use hollywell::core::{
     choice::Observations,
-    dispatch::{Effect, End, Event, Item, Leave, Run, Slot, State, Work, owner},
+    dispatch::{Effect, End, Event, Item, MoveReason, Run, Slot, State, Work, owner},
     fleet::{Announcement, Fleet},
     time::Time,
 };
@@ -164,13 +164,14 @@
 fn a_silent_stream_moves_only_while_another_engine_has_a_free_place() {
     let mut world = world(&[target("a", 1)]);
     let (run, _, _) = starts(&world.step(10, &Event::Opened(work("j", &[100]))))[0].clone();
-    world.step(20, &Event::Head { run });
+    world.step(20, &Event::AnswerStarted { run });
     assert!(world.step(500, &Event::Tick).is_empty(), "there is nowhere to go");
     world.fleet.announce(Time(500), target("b", 1));
     let effects = world.step(520, &Event::Tick);
     assert!(effects.contains(&Effect::Cancel(run)), "{effects:?}");
     assert_eq!(starts(&effects)[0].2, "b");
-    let stalled = |effect: &Effect| matches!(effect, Effect::Moved { why: Leave::Stalled, .. });
+    let stalled =
+        |effect: &Effect| matches!(effect, Effect::Moved { why: MoveReason::Stalled, .. });
     assert!(effects.iter().any(stalled));
 }
 
@@ -181,12 +182,12 @@
         let started = starts(&world.step(10, &Event::Opened(work("j", &[5_000]))));
         world.fleet.announce(Time(20), target("b", 1));
         let run = started[0].0;
-        world.step(20, &Event::Head { run });
+        world.step(20, &Event::AnswerStarted { run });
         for n in 0..10 {
-            world.step(20 + n * 100, &Event::Piece { run });
+            world.step(20 + n * 100, &Event::StreamEvent { run });
         }
         // The other engine is known to be three times as fast.
-        (0..10).for_each(|_| world.observations.pace("b", 30.0));
+        (0..10).for_each(|_| world.observations.record_event_gap("b", 30.0));
         let members = members.iter().map(|member| (*member).to_owned()).collect();
         world.step(921, &Event::Members(members));
         world.step(921, &Event::Stale { part: 0, stale });
@@ -202,7 +203,7 @@
 fn a_run_leaves_an_engine_that_is_gone() {
     let mut world = world(&[target("a", 1), target("b", 1)]);
     let (run, _, at) = starts(&world.step(10, &Event::Opened(work("j", &[100]))))[0].clone();
-    world.fleet.vanish(Time(20), &at);
+    world.fleet.record_expiry(Time(20), &at);
     let effects = world.step(20, &Event::Tick);
     assert!(effects.contains(&Effect::Cancel(run)), "{effects:?}");
     assert_ne!(starts(&effects)[0].2, at);
@@ -264,7 +265,7 @@
 fn a_run_begins_anew_after_a_text_that_is_well_ahead_of_its_own() {
     let mut world = world(&[target("a", 1)]);
     let (run, _, _) = starts(&world.step(10, &Event::Opened(work("j", &[100]))))[0].clone();
-    world.step(20, &Event::Piece { run });
+    world.step(20, &Event::StreamEvent { run });
     assert!(world.step(30, &Event::Ahead { slot: slot("j", 0), last: 5 }).is_empty());
     let effects = world.step(40, &Event::Ahead { slot: slot("j", 0), last: 60 });
     assert!(effects.contains(&Effect::Cancel(run)), "{effects:?}");
--- a/crates/hollywell/tests/ending.rs
+++ b/crates/hollywell/tests/ending.rs
@@ -30,7 +30,7 @@
 }
 
 fn asked(job: &str) -> Event {
-    Event::Asked { job: job.into(), known: true }
+    Event::Requested { job: job.into(), known: true }
 }
 
 fn tick(members: &[String], known: &[&str]) -> Event {
@@ -66,7 +66,7 @@
     first.step(Time(5), &refused);
     let told = |effects: Vec<Effect>| -> Vec<String> {
         let tell = |effect| match effect {
-            Effect::Tell { member, .. } => Some(member),
+            Effect::Notify { member, .. } => Some(member),
             _ => None,
         };
         effects.into_iter().filter_map(tell).collect()
@@ -74,7 +74,7 @@
     assert_eq!(told(first.step(Time(50), &tick(&all, &["j"]))), all[1..]);
     let mut last = State::new(&all[5]);
     let by = all[0].clone();
-    let close = last.step(Time(60), &Event::Told { by, jobs: vec!["j".into()] });
+    let close = last.step(Time(60), &Event::Reported { by, jobs: vec!["j".into()] });
     assert_eq!(close, [Effect::Close("j".into())]);
     // The first in the ring told it; the one after is the second relay.
     assert_eq!(told(last.step(Time(100), &tick(&all, &["j"]))), [all[1].clone()]);
@@ -84,10 +84,10 @@
 fn an_end_of_a_job_that_is_not_known_is_not_appended_and_is_forgotten() {
     let all = members(2);
     let mut state = State::new(&all[0]);
-    let effects = state.step(Time(0), &Event::Asked { job: "j".into(), known: false });
+    let effects = state.step(Time(0), &Event::Requested { job: "j".into(), known: false });
     assert_eq!(effects, [Effect::Close("j".into())]);
     let effects = state.step(Time(50), &tick(&all, &[]));
-    assert!(matches!(&effects[..], [Effect::Tell { .. }]), "{effects:?}");
+    assert!(matches!(&effects[..], [Effect::Notify { .. }]), "{effects:?}");
     state.step(Time(20_000), &tick(&all, &[]));
     assert!(state.holds("j"), "it may be read late");
     state.step(Time(31_000), &tick(&all, &[]));
@@ -142,14 +142,14 @@
                 };
                 self.states[at].step(now, &event);
             }
-            Effect::Tell { member, jobs } => {
+            Effect::Notify { member, jobs } => {
                 let to = self.names.iter().position(|name| *name == member).unwrap();
                 if self.losses[at][to] > 0 {
                     self.losses[at][to] -= 1;
                     return;
                 }
                 let by = self.names[at].clone();
-                self.states[to].step(now, &Event::Told { by, jobs: jobs.clone() });
+                self.states[to].step(now, &Event::Reported { by, jobs: jobs.clone() });
                 self.states[at].step(now, &Event::Confirmed { member, jobs });
             }
         }
--- a/crates/hollywell/tests/group.rs
+++ b/crates/hollywell/tests/group.rs
@@ -5,8 +5,8 @@
 
 use hollywell::core::{
     dispatch::owner,
-    group::Census,
-    relay::{Demand, Supply, depth, is_crowded, parent, sources},
+    group::GroupSize,
+    relay::{Demand, Supply, depth, is_overloaded, parent, sources},
     roster::{Roster, domain, link_mbps},
     time::Time,
 };
@@ -33,24 +33,24 @@
 #[test]
 fn a_start_knows_after_two_readings_whom_there_is_to_follow() {
     for instances in [1, 13, 86, 300, 384, 385, 985, 2_000] {
-        let mut census = Census::default();
+        let mut group_size = GroupSize::default();
         let mut readings = 0;
-        while !census.is_settled() {
+        while !group_size.is_settled() {
             // The first comes before most of them have joined.
             let shown = if readings == 0 { 2.min(instances) } else { instances };
-            census.read(shown.min(PARTITIONS), PARTITIONS);
+            group_size.read(shown.min(PARTITIONS), PARTITIONS);
             readings += 1;
         }
         assert!((2..=3).contains(&readings), "{instances} instances: {readings} readings");
-        assert_eq!(census.is_full(), instances * 16 >= PARTITIONS * 15, "{instances}");
+        assert_eq!(group_size.is_full(), instances * 16 >= PARTITIONS * 15, "{instances}");
     }
 }
 
 #[test]
 fn a_group_that_nobody_has_joined_is_not_full() {
-    let mut census = Census::default();
-    census.read(0, 0);
-    assert!(!census.is_full() && !census.is_settled());
+    let mut group_size = GroupSize::default();
+    group_size.read(0, 0);
+    assert!(!group_size.is_full() && !group_size.is_settled());
 }
 
 /// Each instance that did not show counted itself among those that did: 600 of
@@ -63,7 +63,7 @@
     let mut owners = 0;
     for me in &members {
         let mut roster = Roster::new(me);
-        roster.is_of_full_group(true);
+        roster.set_group_full(true);
         roster.read(Time(10), &shown, None);
         assert_eq!(roster.members(), shown);
         let owner = owner(roster.members(), "job", "group");
@@ -76,7 +76,7 @@
 fn one_that_shows_no_longer_is_believed_for_a_moment() {
     let members = fleet(3);
     let mut roster = Roster::new(&members[0]);
-    roster.is_of_full_group(true);
+    roster.set_group_full(true);
     roster.read(Time(10), &members, None);
     roster.read(Time(100), &members[1..], None);
     assert_eq!(roster.members().len(), 3, "work is dealt anew");
@@ -91,7 +91,7 @@
     for (instances, targets) in [(300, 3_000), (985, 10_000), (2_000, 20_000)] {
         let members = fleet(instances);
         let demand = Demand { instances, targets, beat_ms: 1_000 * BEAT_S as u64 };
-        let crowded = is_crowded(SUPPLY, demand);
+        let crowded = is_overloaded(SUPPLY, demand);
         let at_start = members.iter().filter(|me| parent(&members, me).is_none()).count();
         let start_s = at_start * targets * PAGE_ENTRY / SUPPLY.bytes as usize;
         assert!(start_s * 4 <= LEAD_S, "{instances}: {start_s} s of all bandwidth at a start");
--- a/crates/hollywell/tests/near.rs
+++ b/crates/hollywell/tests/near.rs
@@ -61,7 +61,7 @@
 fn started(n: usize, fleet: &Fleet, samples: usize) -> (State, Observations, Vec<Effect>) {
     let me = format!("i{n}");
     let (mut state, mut observations) =
-        (State::new(&me).within(&domain(n)), Observations::default());
+        (State::new(&me).in_domain(&domain(n)), Observations::default());
     state.step(Time(10), &Event::Members(vec![me]), fleet, &mut observations);
     let job = Event::Opened(work(&format!("j{n}"), samples));
     let effects = state.step(Time(11), &job, fleet, &mut observations);
@@ -85,8 +85,8 @@
         let used = targets(&effects);
         assert_eq!(used.len(), 8, "all samples of {n} start");
         for (_, target) in used {
-            assert_eq!(fleet.targets[&target].said.domain, domain(n), "{n} at {target}");
-            assert_eq!(fleet.targets[&target].said.versions["m"], 2, "{n} at {target}");
+            assert_eq!(fleet.targets[&target].announcement.domain, domain(n), "{n} at {target}");
+            assert_eq!(fleet.targets[&target].announcement.versions["m"], 2, "{n} at {target}");
             *load.entry(target).or_default() += 1;
         }
     }
@@ -114,7 +114,7 @@
         // Whatever is sent to the lost domain breaks.
         let mut again = Vec::new();
         for (run, target) in lost {
-            if fleet.targets[&target].said.domain != domain(0) {
+            if fleet.targets[&target].announcement.domain != domain(0) {
                 continue;
             }
             let ended = Event::Ended { run, end: End::Unreached };
@@ -123,7 +123,8 @@
         now += 60;
         again.extend(state.step(Time(now), &Event::Tick, &fleet, &mut observations));
         lost = targets(&again);
-        let elsewhere = lost.iter().all(|(_, id)| fleet.targets[id].said.domain != domain(0));
+        let elsewhere =
+            lost.iter().all(|(_, id)| fleet.targets[id].announcement.domain != domain(0));
         if lost.is_empty() || elsewhere {
             assert!(round > 0, "the first ones were at home");
             return;
@@ -136,13 +137,13 @@
 fn an_engine_that_is_new_enough_only_now_is_found_soon() {
     let mut fleet = fleet(ENGINES);
     for n in 0..DOMAINS {
-        let mut said = fleet.targets[&format!("e{n}")].said.clone();
+        let mut said = fleet.targets[&format!("e{n}")].announcement.clone();
         said.draining = true;
         fleet.announce(Time(5), said);
     }
     let (mut state, mut observations, effects) = started(0, &fleet, 1);
     assert!(targets(&effects).is_empty(), "nobody has the version");
-    fleet.answered("e4000", None, "m", 2);
+    fleet.record_version("e4000", None, "m", 2);
     let effects = state.step(Time(120), &Event::Tick, &fleet, &mut observations);
     assert_eq!(targets(&effects).len(), 1, "looked again after 100 ms");
 }
--- a/crates/hollywell/tests/poison.rs
+++ b/crates/hollywell/tests/poison.rs
@@ -11,7 +11,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use hollywell::core::{
-    poison::{Digest, ENOUGH, SETTLE_MS, State, Verdict, trial},
+    poison::{Digest, PROBE_DELAY_MS, State, TARGET_END_LIMIT, Verdict, probe_target},
     time::Time,
     turn::Turns,
 };
@@ -118,7 +118,7 @@
         self.said = later;
         for (_, to, digest, record) in due {
             match record.as_slice() {
-                [] => drop(self.instances[to].served(digest)),
+                [] => drop(self.instances[to].record_answer(digest)),
                 record => self.instances[to].read(now, digest, record).unwrap(),
             }
         }
@@ -165,7 +165,7 @@
                 if self.turns.is_none() && self.running.iter().any(tries) {
                     return self.again(number);
                 }
-                if self.turns.is_some() && since_ms < SETTLE_MS {
+                if self.turns.is_some() && since_ms < PROBE_DELAY_MS {
                     return self.again(number);
                 }
                 let now = Time(self.now);
@@ -176,7 +176,7 @@
                 }
                 let names: Vec<String> = up.iter().map(|at| format!("t{at}")).collect();
                 let names: Vec<&str> = names.iter().map(String::as_str).collect();
-                match trial(&names, since_ms) {
+                match probe_target(&names, since_ms) {
                     Some(name) => name[1..].parse().unwrap(),
                     None => {
                         self.give_back(number);
@@ -194,10 +194,10 @@
 
     /// Targets for what nothing is known against.
     fn open(&self, instance: usize, up: &[usize]) -> Vec<usize> {
-        let is_trying = self.instances[instance].is_trying(self.now);
+        let is_trying = self.instances[instance].has_pending_probe(self.now);
         let names: Vec<String> = up.iter().map(|at| format!("t{at}")).collect();
         let names: Vec<&str> = names.iter().map(String::as_str).collect();
-        let kept = trial(&names, 0).filter(|_| self.turns.is_some() && is_trying);
+        let kept = probe_target(&names, 0).filter(|_| self.turns.is_some() && is_trying);
         up.iter().copied().filter(|at| Some(format!("t{at}").as_str()) != kept).collect()
     }
 
@@ -236,7 +236,7 @@
             } else {
                 self.held.remove(&one.number);
                 self.give_back(one.number);
-                if self.instances[one.instance].served(digest(one.number)) {
+                if self.instances[one.instance].record_answer(digest(one.number)) {
                     self.tell(one.instance, digest(one.number));
                 }
             }
@@ -247,8 +247,8 @@
         let life = format!("t{}/{}", one.target, one.life);
         let state = &mut self.instances[one.instance];
         let is_news = match one.is_trial && self.turns.is_some() {
-            true => state.ended_alone(self.now, digest(one.number), &life),
-            false => state.ended(self.now, digest(one.number), &life),
+            true => state.record_isolated_end(self.now, digest(one.number), &life),
+            false => state.record_target_end(self.now, digest(one.number), &life),
         };
         if is_news {
             self.tell(one.instance, digest(one.number));
@@ -316,7 +316,8 @@
 
 fn check(ends: &BTreeMap<u64, Vec<u64>>, seed: u64) {
     for (culprit, ends) in ends {
-        let Some(known) = ends.get(ENOUGH as usize - 1).map(|third| third + CONTACT_MS) else {
+        let Some(known) = ends.get(TARGET_END_LIMIT as usize - 1).map(|third| third + CONTACT_MS)
+        else {
             continue;
         };
         let after = ends.iter().filter(|at| **at > known).count() as u64;
@@ -331,7 +332,7 @@
         for targets in [2, 3, 12] {
             let ends = play(seed, 1, targets);
             check(&ends, seed);
-            assert!(ends[&0].len() >= ENOUGH as usize, "seed {seed}: held back too soon");
+            assert!(ends[&0].len() >= TARGET_END_LIMIT as usize, "seed {seed}: held back too soon");
         }
     }
 }
@@ -373,7 +374,10 @@
                 play_world(World { persistent: true, turns, ..world(seed, culprits, targets) });
             for (culprit, ends) in ends {
                 let all = ends.len();
-                assert!(all <= ENOUGH as usize, "seed {seed}: {culprit} of {culprits} ended {all}");
+                assert!(
+                    all <= TARGET_END_LIMIT as usize,
+                    "seed {seed}: {culprit} of {culprits} ended {all}"
+                );
             }
         }
     }
@@ -384,10 +388,10 @@
     let (culprit, beside) = (digest(0), digest(1));
     let mut state = State::default();
     for life in ["a/1", "b/1"] {
-        state.ended(START_MS, culprit, life);
-        state.ended(START_MS, beside, life);
+        state.record_target_end(START_MS, culprit, life);
+        state.record_target_end(START_MS, beside, life);
     }
-    state.ended_alone(START_MS, culprit, "c/1");
+    state.record_isolated_end(START_MS, culprit, "c/1");
     assert!(matches!(state.verdict(START_MS, culprit), Verdict::Held(ms) if ms >= 600_000));
     assert_eq!(state.verdict(START_MS, beside), Verdict::Suspect);
     // Whoever reads of it judges alike; that another one was there too, which
@@ -396,7 +400,7 @@
     other.read(START_MS, culprit, &state.record(culprit).unwrap()).unwrap();
     assert_eq!(other.verdict(START_MS, culprit), state.verdict(START_MS, culprit));
     for life in ["a/1", "b/1", "c/1"] {
-        other.ended(START_MS, beside, life);
+        other.record_target_end(START_MS, beside, life);
     }
     assert!(!matches!(other.verdict(START_MS, culprit), Verdict::Held(ms) if ms >= 600_000));
 }
@@ -406,12 +410,12 @@
     let culprit = digest(0);
     let mut state = State::default();
     for life in ["a/1", "b/1", "c/1"] {
-        assert!(state.ended(START_MS, culprit, life));
+        assert!(state.record_target_end(START_MS, culprit, life));
     }
     let Verdict::Held(first_ms) = state.verdict(START_MS, culprit) else { panic!("not held") };
     let later = START_MS + first_ms;
     assert_eq!(state.verdict(later, culprit), Verdict::Suspect);
-    state.ended(later, culprit, "a/2");
+    state.record_target_end(later, culprit, "a/2");
     assert_eq!(state.verdict(later, culprit), Verdict::Held(2 * first_ms));
 }
 
@@ -422,7 +426,7 @@
     for end in 1..=BEYOND_DOUBT {
         for twin in twins {
             assert_eq!(state.verdict(START_MS, twin) == Verdict::Free, end == 1);
-            state.ended(START_MS, twin, &format!("a/{end}"));
+            state.record_target_end(START_MS, twin, &format!("a/{end}"));
         }
     }
     for twin in twins {
@@ -434,9 +438,9 @@
 fn one_end_counts_once_however_often_and_by_whomever_it_is_told() {
     let culprit = digest(0);
     let (mut here, mut there) = (State::default(), State::default());
-    here.ended(START_MS, culprit, "a/1");
-    there.ended(START_MS + 5, culprit, "a/1");
-    there.ended(START_MS + 6, culprit, "b/1");
+    here.record_target_end(START_MS, culprit, "a/1");
+    there.record_target_end(START_MS + 5, culprit, "a/1");
+    there.record_target_end(START_MS + 6, culprit, "b/1");
     for _ in 0..4 {
         let (ours, theirs) = (here.record(culprit).unwrap(), there.record(culprit).unwrap());
         here.read(START_MS + 10, culprit, &theirs).unwrap();
@@ -452,10 +456,10 @@
 fn a_target_that_ends_again_later_has_started_in_between() {
     let culprit = digest(0);
     let mut state = State::default();
-    assert!(state.ended(START_MS, culprit, "a/1"));
-    assert!(!state.ended(START_MS + 200, culprit, "a/1"), "two sends saw one end");
-    assert!(state.ended(START_MS + 3_000, culprit, "a/1"));
-    assert!(state.ended(START_MS + 6_000, culprit, "a/1"));
+    assert!(state.record_target_end(START_MS, culprit, "a/1"));
+    assert!(!state.record_target_end(START_MS + 200, culprit, "a/1"), "two sends saw one end");
+    assert!(state.record_target_end(START_MS + 3_000, culprit, "a/1"));
+    assert!(state.record_target_end(START_MS + 6_000, culprit, "a/1"));
     assert!(matches!(state.verdict(START_MS + 6_000, culprit), Verdict::Held(_)));
 }
 
@@ -464,8 +468,8 @@
     let culprit = digest(0);
     let (mut here, mut there) = (State::default(), State::default());
     for end in 0..20 {
-        here.ended(START_MS, culprit, &format!("a/{end}"));
-        there.ended(START_MS, culprit, &format!("b/{end}"));
+        here.record_target_end(START_MS, culprit, &format!("a/{end}"));
+        there.record_target_end(START_MS, culprit, &format!("b/{end}"));
     }
     let before = here.verdict(START_MS, culprit);
     let mut exchange = || {
@@ -496,10 +500,10 @@
 fn the_state_is_bounded_and_forgets_the_least_first() {
     let mut state = State::default();
     for life in ["a/1", "b/1", "c/1"] {
-        state.ended(START_MS, digest(0), life);
+        state.record_target_end(START_MS, digest(0), life);
     }
     for number in 1..10_000 {
-        state.ended(START_MS + number, digest(number), &format!("t/{number}"));
+        state.record_target_end(START_MS + number, digest(number), &format!("t/{number}"));
     }
     assert!(state.len() <= 4_096, "{}", state.len());
     assert!(matches!(state.verdict(START_MS + 10_000, digest(0)), Verdict::Held(_)));
--- a/crates/hollywell/tests/relay.rs
+++ b/crates/hollywell/tests/relay.rs
@@ -6,7 +6,7 @@
 
 use arbtest::arbitrary::Unstructured;
 use hollywell::core::{
-    relay::{is_used, parent},
+    relay::{has_relays, parent},
     roster::{address, domain, instance},
 };
 
@@ -51,9 +51,9 @@
         if let Some(parent) = parent(&members, me) {
             assert_eq!(domain(parent), domain(me));
         }
-        assert!(is_used(&members, me));
+        assert!(has_relays(&members, me));
     }
-    assert!(!is_used(&fleet(13, 4), "i1@10.0.0.1:80+1/1a"));
+    assert!(!has_relays(&fleet(13, 4), "i1@10.0.0.1:80+1/1a"));
 }
 
 #[test]
--- a/crates/hollywell/tests/roll.rs
+++ b/crates/hollywell/tests/roll.rs
@@ -6,7 +6,7 @@
     choice::Observations,
     fleet::{Announcement, Fleet},
     time::Time,
-    weight_loading::{Models, State, Step, is_due},
+    weight_loading::{Models, State, Step, has_due_load},
 };
 
 fn fleet(engines: usize, models: &[&str], version: u64) -> Fleet {
@@ -32,7 +32,7 @@
 
 fn named(versions: &[(&str, u64)]) -> Models {
     let named = versions.iter().map(|(model, version)| ((*model).to_owned(), *version)).collect();
-    Models { named, ..Models::default() }
+    Models { newest: named, ..Models::default() }
 }
 
 /// Carries all orders out, one pass after the other; how many there were.
@@ -41,11 +41,11 @@
     let mut count = 0;
     for now in 1..100 {
         for order in state.step(Time(now), "d", named, fleet, &observations) {
-            fleet.answered(&order.target, order.born, &order.model, order.version);
+            fleet.record_version(&order.target, order.born, &order.model, order.version);
             count += 1;
         }
     }
-    assert!(!is_due("d", named, fleet));
+    assert!(!has_due_load("d", named, fleet));
     count
 }
 
@@ -55,7 +55,7 @@
     for version in 2..12 {
         let count = settle(&mut fleet, &named(&[("m", version)]));
         assert!((5..=6).contains(&count), "{count} loads for version {version}");
-        let oldest = fleet.targets.values().map(|target| target.said.versions["m"]).min();
+        let oldest = fleet.targets.values().map(|target| target.announcement.versions["m"]).min();
         assert!(oldest >= Some(version - 1), "{oldest:?} at version {version}");
     }
 }
@@ -69,7 +69,8 @@
         let named: Vec<(&str, u64)> = models.iter().map(|model| (*model, version)).collect();
         let loads = settle(&mut fleet, &self::named(&named));
         let able = |model: &&str| {
-            let fresh = |id: &&String| fleet.targets[*id].said.versions[*model] + 1 >= version;
+            let fresh =
+                |id: &&String| fleet.targets[*id].announcement.versions[*model] + 1 >= version;
             fleet.targets.keys().filter(fresh).count()
         };
         seen.push((loads, models.iter().map(able).collect()));
@@ -99,19 +100,19 @@
     const SAMPLES: u64 = 224;
     let mut fleet = fleet(560, &["m"], 1);
     for (n, target) in fleet.targets.values_mut().enumerate() {
-        target.said.domain = format!("d{}", n % DOMAINS);
+        target.announcement.domain = format!("d{}", n % DOMAINS);
     }
     let observations = Observations::default();
     for version in 2..8 {
         let mut models = named(&[("m", version)]);
-        models.asked("m", 100_000, SAMPLES);
+        models.record_step("m", 100_000, SAMPLES);
         let mut states = vec![State::default(); DOMAINS];
         let mut loads = 0;
         for now in 1..100 {
             for (domain, state) in states.iter_mut().enumerate() {
                 let name = format!("d{domain}");
                 for order in state.step(Time(now), &name, &models, &fleet, &observations) {
-                    fleet.answered(&order.target, order.born, &order.model, order.version);
+                    fleet.record_version(&order.target, order.born, &order.model, order.version);
                     loads += 1;
                 }
             }
@@ -122,9 +123,10 @@
         for lost in 0..DOMAINS {
             let lost = format!("d{lost}");
             let can = fleet.targets.values().filter(|target| {
-                target.said.domain != lost && target.said.versions["m"] + 1 >= version
+                target.announcement.domain != lost
+                    && target.announcement.versions["m"] + 1 >= version
             });
-            let places: u64 = can.map(|target| u64::from(target.said.slots)).sum();
+            let places: u64 = can.map(|target| u64::from(target.announcement.slots)).sum();
             assert!(places >= SAMPLES, "{places} places without {lost} for version {version}");
         }
     }
@@ -154,8 +156,8 @@
     const PERIOD_MS: u64 = 3_600;
     let mut fleet = fleet(12, &MODELS, 1);
     for (n, target) in fleet.targets.values_mut().enumerate() {
-        target.said.domain = DOMAINS[n % 4].into();
-        target.said.slots = 12;
+        target.announcement.domain = DOMAINS[n % 4].into();
+        target.announcement.slots = 12;
     }
     let mut offices = DOMAINS.map(|_| State::default());
     let mut models = Models::default();
@@ -167,7 +169,7 @@
             let asked = now + PERIOD_MS - 1_200 * n as u64;
             if asked.is_multiple_of(PERIOD_MS) {
                 let version = asked / PERIOD_MS + 1;
-                models.named.insert((*model).into(), version);
+                models.newest.insert((*model).into(), version);
                 let step = Step { min_version: version - 1, samples: 72 };
                 models.steps.insert((*model).into(), vec![step]);
                 waiting.push((*model, version - 1, now));
@@ -175,7 +177,7 @@
         }
         loading.retain(|(until, target, model, version)| {
             if *until <= now {
-                fleet.answered(target, None, model, *version);
+                fleet.record_version(target, None, model, *version);
             }
             *until > now
         });
@@ -186,8 +188,9 @@
             }
         }
         waiting.retain(|(model, min_version, asked)| {
-            let fits = fleet.targets.values().filter(|t| t.said.versions[*model] >= *min_version);
-            let served = fits.map(|target| target.said.slots).sum::<u32>() >= 36;
+            let fits =
+                fleet.targets.values().filter(|t| t.announcement.versions[*model] >= *min_version);
+            let served = fits.map(|target| target.announcement.slots).sum::<u32>() >= 36;
             if served {
                 waits.push(now - asked);
                 if let Some(steps) = models.steps.get_mut(*model) {
@@ -214,7 +217,7 @@
     let first = state.step(Time(10), "d", &named, &fleet, &observations);
     assert_eq!(first.len(), 1);
     assert!(state.step(Time(500), "d", &named, &fleet, &observations).is_empty());
-    state.failed(&first[0].target);
+    state.order_failed(&first[0].target);
     assert_eq!(state.step(Time(600), "d", &named, &fleet, &observations).len(), 1);
     let again = state.step(Time(9_000), "d", &named, &fleet, &observations);
     assert_eq!(again.len(), 1, "an order does not block for good");
@@ -223,8 +226,8 @@
 #[test]
 fn engines_of_other_failure_domains_and_leaving_ones_get_no_orders() {
     let mut fleet = fleet(3, &["m"], 1);
-    fleet.targets.get_mut("e0").unwrap().said.domain = "elsewhere".into();
-    fleet.targets.get_mut("e1").unwrap().said.draining = true;
+    fleet.targets.get_mut("e0").unwrap().announcement.domain = "elsewhere".into();
+    fleet.targets.get_mut("e1").unwrap().announcement.draining = true;
     let named = named(&[("m", 3)]);
     let orders = State::default().step(Time(10), "d", &named, &fleet, &Observations::default());
     let targets: Vec<&str> = orders.iter().map(|order| order.target.as_str()).collect();
@@ -235,17 +238,17 @@
 fn engines_are_dealt_out_by_the_tokens_that_are_asked_for() {
     let mut fleet = fleet(12, &["large", "small"], 1);
     let mut models = named(&[("large", 3), ("small", 3)]);
-    models.asked("large", 90_000, 100);
-    models.asked("small", 30_000, 100);
+    models.record_step("large", 90_000, 100);
+    models.record_step("small", 30_000, 100);
     settle(&mut fleet, &models);
     let kept = |model: &str| {
-        fleet.targets.values().filter(|target| target.said.versions[model] == 3).count()
+        fleet.targets.values().filter(|target| target.announcement.versions[model] == 3).count()
     };
     // 9 and 3 of 12 places, one and a half times, no more than there are.
     assert_eq!((kept("large"), kept("small")), (12, 4));
     // A step that is somewhat larger moves no engine.
-    models.asked("small", 36_000, 100);
-    assert!(!is_due("d", &models, &fleet));
+    models.record_step("small", 36_000, 100);
+    assert!(!has_due_load("d", &models, &fleet));
 }
 
 #[test]
--- a/crates/hollywell/tests/spare.rs
+++ b/crates/hollywell/tests/spare.rs
@@ -200,11 +200,11 @@
 fn what_lay_in_a_log_at_the_start_holds_no_results_back() {
     const ROOM: u64 = 1_000_000;
     let mut state = State::new(ROOM);
-    let most = state.log_most(1);
+    let most = state.max_log_bytes(1);
     let mut log = Log::default();
     // Half of the room is live; all of it was read at once at the start.
-    log.note(Time(0), 1_000, ROOM / 2);
-    state.seen(Time(0), ROOM / 2, log.bytes(most), 0);
+    log.record(Time(0), 1_000, ROOM / 2);
+    state.update(Time(0), ROOM / 2, log.bytes(most), 0);
     assert!(state.allows(Time(0), Purpose::Outcome, 1_000), "{} used", state.used());
     assert!(log.bytes(most) >= most, "it may be as full as it may be");
     log.expire(Time(301_000), 300_000);
@@ -214,28 +214,28 @@
 #[test]
 fn a_caller_waits_for_drops_only_where_drops_make_the_room() {
     let mut state = State::new(1_000_000);
-    state.seen(Time(0), 100_000, 100_000, 0);
-    state.refused(Time(0));
+    state.update(Time(0), 100_000, 100_000, 0);
+    state.record_refusal(Time(0));
     let trimmed_soon = state.admit(Time(0), 1_000, Some(55_000)).unwrap_err();
     assert!(trimmed_soon <= 5_000, "{trimmed_soon} ms");
-    state.seen(Time(5_000), 600_000, 0, 0);
+    state.update(Time(5_000), 600_000, 0, 0);
     assert_eq!(state.admit(Time(5_000), 1_000, Some(55_000)), Err(55_000));
 }
 
 #[test]
 fn what_is_spare_counts_until_it_can_have_been_dropped() {
     let mut state = State::new(1_000_000);
-    state.seen(Time(0), 600_000, 0, 0);
-    state.seen(Time(1_000), 300_000, 0, 0);
+    state.update(Time(0), 600_000, 0, 0);
+    state.update(Time(1_000), 300_000, 0, 0);
     assert_eq!(state.used(), 600_000, "it is there still");
-    state.seen(Time(3_000), 300_000, 0, 0);
+    state.update(Time(3_000), 300_000, 0, 0);
     assert_eq!(state.used(), 300_000);
     state.appended(50_000);
     assert_eq!(state.used(), 350_000, "a burst counts before it is read");
-    state.refused(Time(6_000));
-    state.seen(Time(6_500), 100_000, 0, 0);
+    state.record_refusal(Time(6_000));
+    state.update(Time(6_500), 100_000, 0, 0);
     assert_eq!(state.used(), 300_000, "a full store drops nothing");
-    state.seen(Time(7_500), 100_000, 0, 0);
+    state.update(Time(7_500), 100_000, 0, 0);
     assert_eq!(state.used(), 100_000);
 }
 
@@ -244,9 +244,9 @@
     let mut log = Log::default();
     let mut trimmed = 0;
     for now in (0..200_000).step_by(40) {
-        log.note(Time(now), now / 10, 1_000);
+        log.record(Time(now), now / 10, 1_000);
         let full = (now > 150_000).then_some(2_000);
-        if let Some(before) = log.cut(Time(now), 50_000, full) {
+        if let Some(before) = log.trim_offset(Time(now), 50_000, full) {
             let least_ms = full.unwrap_or(10_000);
             assert!(before * 10 + least_ms <= now, "at {now} before {before}");
             assert!(before >= trimmed, "never back");
