--- a/crates/hollywell/src/core/dispatch/locality.rs
+++ b/crates/hollywell/src/core/dispatch/locality.rs
@@ -1,12 +1,14 @@
-//! Which targets of a large pool one instance looks at for a job's samples.
+//! Selects the targets of a large pool that one instance considers for a job's
+//! samples.
 //!
-//! Answers the load of a pool of thousands: to look at all of them for each
-//! sample, and for each run at each tick, takes a small instance more time than
-//! it has. So each looks at some dozens that can run the job: those of its own
-//! failure domain first, since bytes between domains are dear, and among equals
-//! those that a hash of both names picks. That spreads the instances evenly, and
-//! a change of targets or instances changes few of anybody's. Targets that are
-//! avoided are left out, so that a lost domain's are replaced by others.
+//! Examining thousands of targets for each sample, and for each run at each
+//! tick, takes a small instance more time than it has. So each instance
+//! considers a few dozen that can run the job: first those of its own failure
+//! domain, since traffic between domains is expensive, and among equals those
+//! with the lowest hash of both names. The hash spreads the instances evenly
+//! over the targets, and a change of targets or instances changes few
+//! selections. Targets that are avoided are left out, so that those of a lost
+//! domain are replaced by others.
 
 use super::Work;
 use crate::core::{
@@ -15,94 +17,96 @@
     time::Time,
 };
 
-/// Targets up to which all are looked at, and how many at least of more: with
-/// six places each, more than the samples of a dozen groups.
-const FEW: usize = 64;
-/// How long the targets are kept that were picked, in milliseconds: an engine
-/// that has loaded a version should be found soon.
-const KEEP_MS: u64 = 500;
-/// The same once none of them had a place.
-const KEEP_DRY_MS: u64 = 100;
-/// Targets for each sample of a job that this instance runs.
-const EACH: usize = 4;
+/// Number of targets up to which all are considered, and minimum size of the
+/// selection from more: with six slots each, more than the samples of a dozen
+/// groups need.
+const MIN_SELECTION: usize = 64;
+/// How long a selection is kept, in milliseconds: an engine that has loaded a
+/// version should be found soon.
+const REFRESH_MS: u64 = 500;
+/// How long a selection is kept once none of its targets had a free slot, in
+/// milliseconds.
+const REFRESH_EXHAUSTED_MS: u64 = 100;
+/// Targets selected per sample of the job that this instance runs.
+const TARGETS_PER_SAMPLE: usize = 4;
 
-/// The targets picked for a job.
+/// The targets selected for a job.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Locality {
-    picked_at: Option<Time>,
+    selected_at: Option<Time>,
     ids: Vec<String>,
-    is_dry: bool,
+    exhausted: bool,
 }
 
-/// Who picks.
+/// The instance that selects.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Who<'a> {
-    /// A hash of its name.
+pub(super) struct Selector<'a> {
+    /// Hash of the instance's name.
     pub salt: u64,
-    /// Its failure domain.
+    /// The instance's failure domain.
     pub domain: &'a str,
-    /// Samples of the job that it runs.
+    /// Number of samples of the job that the instance runs.
     pub samples: usize,
 }
 
 impl Locality {
-    /// Notes that no target picked had a place.
-    pub(super) fn ran_dry(&mut self) {
-        self.is_dry = true;
+    /// Records that no selected target had a free slot.
+    pub(super) fn mark_exhausted(&mut self) {
+        self.exhausted = true;
     }
 
-    /// Picks anew, if that is due.
-    pub(super) fn renew(
+    /// Selects again, if the current selection has expired.
+    pub(super) fn refresh(
         &mut self,
         now: Time,
-        who: Who<'_>,
+        selector: Selector<'_>,
         work: &Work,
         fleet: &Fleet,
         observations: &Observations,
     ) {
-        let keep_ms = if self.is_dry { KEEP_DRY_MS } else { KEEP_MS };
-        let is_kept = self.picked_at.is_some_and(|at| now.since(at) < keep_ms);
-        if is_kept || is_small(fleet) {
+        let refresh_ms = if self.exhausted { REFRESH_EXHAUSTED_MS } else { REFRESH_MS };
+        let is_current = self.selected_at.is_some_and(|at| now.since(at) < refresh_ms);
+        if is_current || is_small(fleet) {
             return;
         }
-        let is_fit = |target: &&Target| {
+        let is_suitable = |target: &&Target| {
             target.may_run(&work.model, work.min_version)
                 && !observations.is_avoided(now, &target.announcement.id)
         };
         let rank = |target: &Target| {
             let id = target.announcement.id.as_bytes();
-            let hash = xxhash_rust::xxh3::xxh3_64_with_seed(id, who.salt);
-            (target.announcement.domain != who.domain, hash)
+            let hash = xxhash_rust::xxh3::xxh3_64_with_seed(id, selector.salt);
+            (target.announcement.domain != selector.domain, hash)
         };
-        let all = fleet.usable(&work.pool).filter(is_fit);
+        let all = fleet.usable(&work.pool).filter(is_suitable);
         let mut all: Vec<_> = all.map(|target| (rank(target), &target.announcement.id)).collect();
-        let most = FEW.max(who.samples * EACH);
-        if all.len() > most {
-            all.select_nth_unstable(most);
-            all.truncate(most);
+        let limit = MIN_SELECTION.max(selector.samples * TARGETS_PER_SAMPLE);
+        if all.len() > limit {
+            all.select_nth_unstable(limit);
+            all.truncate(limit);
         }
         self.ids = all.into_iter().map(|(_, id)| id.clone()).collect();
-        (self.picked_at, self.is_dry) = (Some(now), false);
+        (self.selected_at, self.exhausted) = (Some(now), false);
     }
 
-    /// The targets to look at for a job's samples.
+    /// The targets to consider for a job's samples.
     pub(super) fn targets<'a>(&self, work: &'a Work, fleet: &'a Fleet) -> Vec<&'a Announcement> {
-        let is_fit = |target: &&Target| target.may_run(&work.model, work.min_version);
+        let is_suitable = |target: &&Target| target.may_run(&work.model, work.min_version);
         if is_small(fleet) {
             return fleet
                 .usable(&work.pool)
-                .filter(is_fit)
+                .filter(is_suitable)
                 .map(|target| &target.announcement)
                 .collect();
         }
-        let picked = self.ids.iter().filter_map(|id| fleet.targets.get(id));
+        let selected = self.ids.iter().filter_map(|id| fleet.targets.get(id));
         let is_usable =
             |target: &&Target| target.announcement.pool == work.pool && fleet.accepts(target);
-        picked.filter(is_usable).filter(is_fit).map(|target| &target.announcement).collect()
+        selected.filter(is_usable).filter(is_suitable).map(|target| &target.announcement).collect()
     }
 }
 
-/// Whether there are so few targets that all are looked at.
+/// Whether there are so few targets that all are considered.
 pub(super) fn is_small(fleet: &Fleet) -> bool {
-    fleet.targets.len() <= FEW
+    fleet.targets.len() <= MIN_SELECTION
 }
--- a/crates/hollywell/src/core/dispatch/mod.rs
+++ b/crates/hollywell/src/core/dispatch/mod.rs
@@ -1,16 +1,20 @@
-//! Which samples this instance runs, where, and when they move: a reducer.
+//! Decides which samples this instance runs, on which targets, and when a run
+//! moves to another target. A pure reducer: events go in with the time, effects
+//! come out as data.
 //!
-//! Groups of samples are dealt out over the live instances by rendezvous
-//! hashing, so that one big job is run by many and a change of the members
-//! moves few groups. A sample that is listed, by whomever, is done. Two
-//! instances may run one sample for a while after a change; the store's
-//! order decides which result counts ([`crate::core::batch`]).
+//! Groups of samples are assigned to the live instances by rendezvous hashing,
+//! so that one large job is run by many instances and a membership change
+//! reassigns few groups. A sample is done once its result has been read from
+//! the store, whichever instance wrote it. After a membership change two
+//! instances may run the same sample for a while; the order of records in the
+//! store decides which result counts ([`crate::core::batch`]).
 //!
-//! The module `leave` judges which runs should leave their target, `near` says
-//! which targets of many are looked at, `owners` who runs which group.
+//! `leave` decides which runs should move away from their target, `locality`
+//! selects the targets to consider in a large pool, and `owners` assigns groups
+//! to instances.
 //!
-//! Events go in with the time, effects come out as data. Text never passes
-//! through here: the driver keeps it, the reducer counts events.
+//! Generated text never passes through the reducer: the driver keeps the text,
+//! the reducer only counts stream events.
 
 mod leave;
 mod locality;
@@ -20,7 +24,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use locality::{Locality, Who};
+use locality::{Locality, Selector};
 pub use owners::owner;
 use owners::{Change, Owners};
 
@@ -30,34 +34,37 @@
     time::Time,
 };
 
-/// Requests at a target for each of its slots, everybody's, up to which more
-/// are sent there. Beyond it a sample waits here, where it can still go to
-/// whichever target has room first.
-const MOST_LOAD: f64 = 1.6;
-/// Events by which another instance's text must be ahead for a run to start
-/// anew after it.
-const AHEAD_EVENTS: u32 = 12;
-/// Tokens in one event, where the platform does not say: only the relation
-/// between run and queue depends on it.
-const TOKENS_AN_EVENT: f64 = 50.0;
-/// Wait after a sample's request could not be read, in milliseconds.
+/// Highest load at which requests are still sent to a target: requests of all
+/// instances per slot. Above it a sample waits in this instance, where it can
+/// still go to whichever target has a free slot first.
+const MAX_LOAD: f64 = 1.6;
+/// Number of events by which another instance's stored text must be ahead
+/// before a run is restarted from that text.
+const RESTART_LEAD_EVENTS: u32 = 12;
+/// Tokens per stream event, assumed because the platform does not state it.
+/// Only the ratio of run time to queueing time depends on it.
+const TOKENS_PER_EVENT: f64 = 50.0;
+/// Delay before retrying a sample whose request could not be read from the
+/// store, in milliseconds.
 const UNREADY_MS: u64 = 200;
-/// Wait before it is looked again whether a sample that may end its targets
-/// may be tried, in milliseconds. It is held back for seconds or for minutes.
+/// Delay before checking again whether a held sample (one suspected of ending
+/// its targets) may run, in milliseconds. Holds last for seconds or for
+/// minutes.
 const HELD_MS: u64 = 1_000;
-/// Wait after a failed attempt, in milliseconds, times the number of them.
+/// Back-off after a failed attempt, in milliseconds, multiplied by the number
+/// of failures.
 const BACKOFF_MS: u64 = 50;
 
-/// A sample of a job.
+/// Identifies a sample of a job.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Slot {
-    /// The job.
+    /// The job's id.
     pub job: String,
-    /// The sample's position in the submission.
+    /// Index of the sample in the job's submission.
     pub at: usize,
 }
 
-/// One run of a sample at a target.
+/// One execution of a sample at a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Run(pub u64);
@@ -65,76 +72,79 @@
 /// How a run ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum End {
-    /// Its text is whole.
+    /// The complete text was received.
     Whole,
-    /// The target had no room and ran nothing.
+    /// The target had no free slot and ran nothing.
     Full,
     /// The target runs another incarnation or version, and ran nothing.
     Misdirected,
-    /// A kept connection ended first, which says nothing about the target.
+    /// A reused connection was closed before the answer; says nothing about the
+    /// target.
     Stale,
-    /// The target failed the request.
+    /// The target answered with an error.
     Failed,
-    /// The request can never be done.
+    /// The request can never succeed.
     Impossible,
-    /// The connection broke, or what came was no answer.
+    /// The connection broke, or the bytes received were no valid answer.
     Broken,
-    /// No connection was made, so that nothing was sent.
+    /// No connection was established, so nothing was sent.
     Unreached,
-    /// The sample's request could not be read from the store; no target was
-    /// asked.
+    /// The sample's request could not be read from the store; nothing was sent
+    /// to a target.
     Unready,
-    /// Targets that ran it have ended; none was asked.
+    /// Targets ended while running this request, so it is being held; nothing
+    /// was sent to a target.
     Held,
-    /// The text would name a version that is not allowed; it was discarded.
+    /// The text was generated by a version of the weights that is not allowed;
+    /// it was discarded.
     WrongVersion,
 }
 
-/// A sample as it is run.
+/// What the reducer needs to know of a sample.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Item {
-    /// Samples of one group are run by one instance.
+    /// The group; all samples of a group are run by one instance.
     pub group: String,
-    /// Estimate of the tokens that it will take.
+    /// Estimated number of tokens to generate.
     pub tokens: u32,
-    /// An earlier step asked for it. The trainer waits for all of these,
-    /// whatever else is whole.
+    /// The sample was already requested by an earlier step and is resumed. The
+    /// trainer waits for all resumed samples, however many others are complete.
     pub carried: bool,
 }
 
-/// A job as it is run.
+/// What the reducer needs to know of a job.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Work {
-    /// Its id.
+    /// The job's id.
     pub job: String,
-    /// The partition of the store that tells of its end.
+    /// The partition of the store that holds the record of the job's end.
     pub part: usize,
-    /// The pool that runs it.
+    /// The pool of targets that runs the job.
     pub pool: String,
-    /// The model that generates its text.
+    /// The model that generates the text.
     pub model: String,
-    /// The oldest version that may.
+    /// The oldest version of the weights that may generate it.
     pub min_version: u64,
-    /// Failures after which a sample may be given up.
+    /// Number of failures after which a sample may be given up.
     pub attempts: u32,
-    /// When its samples may be given up.
+    /// The time after which unfinished samples may be given up.
     pub keep_until: Time,
-    /// Its samples.
+    /// The samples, in the order of the submission.
     pub samples: Vec<Item>,
-    /// Samples that were listed before.
+    /// For each sample, whether its result was already in the store.
     pub done: Vec<bool>,
 }
 
-/// What happened.
+/// Input of the reducer.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Event {
     /// Time passed.
     Tick,
-    /// A job is there to be run.
+    /// A job was accepted.
     Opened(Work),
-    /// A sample was listed.
+    /// A sample's result was read from the store.
     Listed(Slot),
-    /// A job was ended or dropped.
+    /// A job was ended, or its records were deleted.
     Closed(String),
     /// The live instances changed.
     Members(Vec<String>),
@@ -142,16 +152,16 @@
     Stale {
         /// The partition.
         part: usize,
-        /// Whether it is.
+        /// Whether it is out of date.
         stale: bool,
     },
-    /// A run's answer began.
+    /// The head of a run's answer was received.
     #[serde(rename = "Head")]
     AnswerStarted {
         /// The run.
         run: Run,
     },
-    /// A whole event of a run's stream came.
+    /// A complete event of a run's stream was received.
     #[serde(rename = "Piece")]
     StreamEvent {
         /// The run.
@@ -161,26 +171,27 @@
     Ended {
         /// The run.
         run: Run,
-        /// How.
+        /// How it ended.
         end: End,
     },
-    /// Another instance has kept a sample's text up to an event.
+    /// Another instance has stored a sample's partial text up to an event.
     Ahead {
         /// The sample.
         slot: Slot,
-        /// The last event kept.
+        /// Index of the last stored event.
         last: u32,
     },
-    /// A finished sample was scored.
+    /// A complete sample was scored.
     Scored(Slot),
-    /// Scoring a sample failed for good.
+    /// Scoring a sample failed permanently.
     Unscored(Slot),
 }
 
-/// What is to be done.
+/// Output of the reducer: an action for the driver.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Effect {
-    /// Run a sample at a target, going on after what is kept of its text.
+    /// Run a sample at a target, continuing after the partial text that is
+    /// stored.
     Start {
         /// The run.
         run: Run,
@@ -188,44 +199,45 @@
         slot: Slot,
         /// The target's id.
         target: String,
-        /// Rank at the target, 0 first.
+        /// Priority at the target; 0 is the highest.
         priority: u8,
     },
-    /// Close a run's connection. Its end is not reported.
+    /// Close a run's connection. No [`Event::Ended`] is reported for it.
     Cancel(Run),
-    /// Nothing to do: a run left its target, for the log.
+    /// A run left its target; for logs and metrics only.
     Moved {
         /// The sample.
         slot: Slot,
-        /// The target that it left.
+        /// The target that the run left.
         target: String,
-        /// Why.
+        /// The reason.
         why: MoveReason,
     },
-    /// Forget what is kept of a sample's text.
+    /// Discard the stored partial text of a sample.
     Discard(Slot),
-    /// Send a finished sample's scoring request.
+    /// Send the scoring request of a complete sample.
     Score(Slot),
-    /// Append a sample's result.
+    /// Append a sample's result to the store.
     Deliver(Slot),
-    /// Append that a sample is given up.
+    /// Append to the store that a sample is given up.
     GiveUp(Slot),
 }
 
-/// Why a run leaves its target.
+/// Why a run leaves its target. The variant names are written to logs and
+/// metrics.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MoveReason {
-    /// Nothing has come for so long that the target must be broken.
+    /// Nothing was received for so long that the target is taken for broken.
     Broken,
-    /// Nothing has come for a while, and another target has a free place.
+    /// Nothing was received for a while, and another target has a free slot.
     Stalled,
-    /// The target is gone.
+    /// The target is gone or has restarted.
     Gone,
     /// Another target is faster by more than the move costs.
     Slow,
 }
 
-/// Where a sample stands here.
+/// State of a sample at this instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Stage {
     Idle,
@@ -238,7 +250,7 @@
 #[derive(Clone, Debug)]
 struct Progress {
     stage: Stage,
-    mine: bool,
+    assigned: bool,
     not_before: Time,
     failures: u32,
     events: u32,
@@ -248,10 +260,10 @@
 struct Running {
     slot: Slot,
     target: String,
-    /// The target's start, as it was known at the run's.
+    /// The target's start time as known when the run began.
     born: Option<u64>,
-    head: bool,
-    heard_at: Time,
+    answered: bool,
+    last_event_at: Time,
     events: u32,
 }
 
@@ -259,56 +271,58 @@
 struct ActiveJob {
     work: Work,
     progress: Vec<Progress>,
-    /// Positions in the order in which they are started.
+    /// Sample indices in the order in which they are started.
     order: Vec<usize>,
-    /// Who runs its groups.
+    /// The instance that runs each group.
     owners: Owners,
-    /// Targets that are looked at for them.
+    /// The targets considered for this job's samples.
     locality: Locality,
 }
 
 /// The reducer's state.
 #[derive(Clone, Debug, Default)]
 pub struct State {
-    me: String,
+    own_id: String,
     /// The failure domain of this instance.
     domain: String,
-    /// Targets of the open jobs' pools, and when they were counted.
-    targets: Option<(Time, usize)>,
+    /// Number of targets in the pools of the active jobs, and when they were
+    /// counted.
+    target_count: Option<(Time, usize)>,
     now: Time,
     members: Vec<String>,
     jobs: BTreeMap<String, ActiveJob>,
-    /// Jobs in the order in which they came.
+    /// Job ids in the order of arrival.
     arrival: Vec<String>,
     runs: HashMap<Run, Running>,
     next_run: u64,
-    /// Partitions whose jobs may have been ended unnoticed.
+    /// Partitions that could not be read lately, so that the end of a job may
+    /// have been missed.
     stale: BTreeSet<usize>,
 }
 
 impl State {
-    /// The state of an instance that knows nobody, itself included: it runs
-    /// nothing until it is told who lives. Counting itself alone was tried:
-    /// each instance that started ran all samples of all jobs at once, until
-    /// it had read the members.
+    /// The state of an instance that knows of no member, not even itself; it
+    /// runs nothing until [`Event::Members`]. Counting itself alone does not
+    /// work: each starting instance ran all samples of all jobs until it had
+    /// read the membership.
     #[must_use]
-    pub fn new(me: &str) -> State {
-        State { me: me.to_owned(), ..State::default() }
+    pub fn new(own_id: &str) -> State {
+        State { own_id: own_id.to_owned(), ..State::default() }
     }
 
-    /// The same of an instance of a failure domain.
+    /// Sets this instance's failure domain.
     #[must_use]
     pub fn in_domain(self, domain: &str) -> State {
         State { domain: domain.to_owned(), ..self }
     }
 
-    /// Runs in flight.
+    /// Number of runs in flight.
     #[must_use]
     pub fn in_flight(&self) -> usize {
         self.runs.len()
     }
 
-    /// Takes an event in and returns what is to be done.
+    /// Applies an event and returns the resulting effects.
     pub fn step(
         &mut self,
         now: Time,
@@ -319,30 +333,32 @@
         let mut effects = Vec::new();
         self.now = now;
         match event {
-            Event::Tick => self.watch(now, fleet, observations, &mut effects),
+            Event::Tick => self.check_runs(now, fleet, observations, &mut effects),
             Event::Opened(work) => self.open(work.clone()),
-            Event::Listed(slot) => self.listed(slot, observations, &mut effects),
+            Event::Listed(slot) => self.result_read(slot, observations, &mut effects),
             Event::Closed(job) => self.close(job, observations, &mut effects),
-            Event::Members(members) => self.members(members),
+            Event::Members(members) => self.set_members(members),
             Event::Stale { part, stale: true } => {
                 self.stale.insert(*part);
             }
             Event::Stale { part, stale: false } => {
                 self.stale.remove(part);
             }
-            Event::AnswerStarted { run } => self.head(now, *run),
-            Event::StreamEvent { run } => self.piece(now, *run, observations),
+            Event::AnswerStarted { run } => self.answer_started(now, *run),
+            Event::StreamEvent { run } => self.stream_event(now, *run, observations),
             Event::Ended { run, end } => self.ended(now, *run, *end, observations, &mut effects),
-            Event::Ahead { slot, last } => self.ahead(slot, *last, observations, &mut effects),
+            Event::Ahead { slot, last } => {
+                self.restart_if_behind(slot, *last, observations, &mut effects)
+            }
             Event::Scored(slot) => {
-                self.delivered(slot, Effect::Deliver(slot.clone()), &mut effects);
+                self.scoring_ended(slot, Effect::Deliver(slot.clone()), &mut effects);
             }
             Event::Unscored(slot) => {
-                self.delivered(slot, Effect::GiveUp(slot.clone()), &mut effects);
+                self.scoring_ended(slot, Effect::GiveUp(slot.clone()), &mut effects);
             }
         }
         if !matches!(event, Event::AnswerStarted { .. } | Event::StreamEvent { .. }) {
-            self.start(now, fleet, observations, &mut effects);
+            self.start_samples(now, fleet, observations, &mut effects);
         }
         effects
     }
@@ -354,15 +370,15 @@
         let owners = Owners::new(&self.members, &work);
         let progress = |(at, item): (usize, &Item)| Progress {
             stage: if work.done[at] { Stage::Done } else { Stage::Idle },
-            mine: owners.is(&item.group, &self.me),
+            assigned: owners.is_owner(&item.group, &self.own_id),
             not_before: Time(0),
             failures: 0,
             events: 0,
         };
         let progress: Vec<Progress> = work.samples.iter().enumerate().map(progress).collect();
         let mut order: Vec<usize> = (0..work.samples.len()).collect();
-        // Those that the trainer cannot do without, then the longest: a step
-        // ends with its longest sample.
+        // Resumed samples first, since the trainer waits for them; then the
+        // longest first, since a step ends with its longest sample.
         order.sort_by_key(|at| {
             let item = &work.samples[*at];
             (!item.carried, std::cmp::Reverse(item.tokens))
@@ -374,52 +390,58 @@
         );
     }
 
-    fn listed(&mut self, slot: &Slot, observations: &mut Observations, effects: &mut Vec<Effect>) {
-        let Some(open) = self.jobs.get_mut(&slot.job) else {
+    fn result_read(
+        &mut self,
+        slot: &Slot,
+        observations: &mut Observations,
+        effects: &mut Vec<Effect>,
+    ) {
+        let Some(active) = self.jobs.get_mut(&slot.job) else {
             return;
         };
-        let progress = &mut open.progress[slot.at];
+        let progress = &mut active.progress[slot.at];
         let stage = std::mem::replace(&mut progress.stage, Stage::Done);
         if let Stage::Running(run) = stage {
-            self.stop(run, observations, effects);
+            self.cancel(run, observations, effects);
         }
         if stage != Stage::Done {
             effects.push(Effect::Discard(slot.clone()));
         }
     }
 
-    /// Starts a run anew where another instance got further: after a change
-    /// of the members two may run one sample.
-    fn ahead(
+    /// Restarts a run from the stored text if another instance has got further:
+    /// after a membership change two instances may run the same sample.
+    fn restart_if_behind(
         &mut self,
         slot: &Slot,
         last: u32,
         observations: &mut Observations,
         effects: &mut Vec<Effect>,
     ) {
-        let Some(progress) = self.jobs.get_mut(&slot.job).map(|open| &mut open.progress[slot.at])
+        let Some(progress) =
+            self.jobs.get_mut(&slot.job).map(|active| &mut active.progress[slot.at])
         else {
             return;
         };
         let Stage::Running(run) = progress.stage else {
             return;
         };
-        let here = progress.events + self.runs.get(&run).map_or(0, |running| running.events);
-        if here + AHEAD_EVENTS < last {
+        let own_events = progress.events + self.runs.get(&run).map_or(0, |running| running.events);
+        if own_events + RESTART_LEAD_EVENTS < last {
             progress.stage = Stage::Idle;
             progress.events = last;
-            self.stop(run, observations, effects);
+            self.cancel(run, observations, effects);
         }
     }
 
     fn close(&mut self, job: &str, observations: &mut Observations, effects: &mut Vec<Effect>) {
-        let Some(open) = self.jobs.remove(job) else {
+        let Some(active) = self.jobs.remove(job) else {
             return;
         };
         self.arrival.retain(|other| other != job);
-        for (at, progress) in open.progress.iter().enumerate() {
+        for (at, progress) in active.progress.iter().enumerate() {
             if let Stage::Running(run) = progress.stage {
-                self.stop(run, observations, effects);
+                self.cancel(run, observations, effects);
             }
             if progress.stage != Stage::Done {
                 effects.push(Effect::Discard(Slot { job: job.to_owned(), at }));
@@ -427,33 +449,33 @@
         }
     }
 
-    fn members(&mut self, members: &[String]) {
+    fn set_members(&mut self, members: &[String]) {
         let change = Change::between(&self.members, members);
-        for open in self.jobs.values_mut() {
-            open.owners.change(&open.work.job, members, &change);
-            for (item, progress) in open.work.samples.iter().zip(&mut open.progress) {
-                progress.mine = open.owners.is(&item.group, &self.me);
+        for active in self.jobs.values_mut() {
+            active.owners.change(&active.work.job, members, &change);
+            for (item, progress) in active.work.samples.iter().zip(&mut active.progress) {
+                progress.assigned = active.owners.is_owner(&item.group, &self.own_id);
             }
         }
         self.members = members.to_vec();
     }
 
-    fn head(&mut self, now: Time, run: Run) {
+    fn answer_started(&mut self, now: Time, run: Run) {
         if let Some(running) = self.runs.get_mut(&run) {
-            running.head = true;
-            running.heard_at = now;
+            running.answered = true;
+            running.last_event_at = now;
         }
     }
 
-    fn piece(&mut self, now: Time, run: Run, observations: &mut Observations) {
+    fn stream_event(&mut self, now: Time, run: Run, observations: &mut Observations) {
         let Some(running) = self.runs.get_mut(&run) else {
             return;
         };
         if running.events > 0 {
-            observations.record_event_gap(&running.target, now.since(running.heard_at) as f64);
+            observations.record_event_gap(&running.target, now.since(running.last_event_at) as f64);
         }
         running.events += 1;
-        running.heard_at = now;
+        running.last_event_at = now;
     }
 
     fn ended(
@@ -471,11 +493,11 @@
         if matches!(end, End::Broken | End::Unreached | End::WrongVersion) {
             observations.connection_closed(&running.target);
         }
-        let Some(open) = self.jobs.get_mut(&running.slot.job) else {
+        let Some(active) = self.jobs.get_mut(&running.slot.job) else {
             return;
         };
-        let attempts = open.work.attempts.max(1);
-        let progress = &mut open.progress[running.slot.at];
+        let attempts = active.work.attempts.max(1);
+        let progress = &mut active.progress[running.slot.at];
         progress.stage = Stage::Idle;
         progress.events += running.events;
         match end {
@@ -513,9 +535,9 @@
         }
     }
 
-    fn delivered(&mut self, slot: &Slot, effect: Effect, effects: &mut Vec<Effect>) {
-        let open = self.jobs.get_mut(&slot.job);
-        let Some(progress) = open.map(|open| &mut open.progress[slot.at]) else {
+    fn scoring_ended(&mut self, slot: &Slot, effect: Effect, effects: &mut Vec<Effect>) {
+        let active = self.jobs.get_mut(&slot.job);
+        let Some(progress) = active.map(|active| &mut active.progress[slot.at]) else {
             return;
         };
         if progress.stage == Stage::Scoring {
@@ -524,7 +546,7 @@
         }
     }
 
-    fn stop(&mut self, run: Run, observations: &mut Observations, effects: &mut Vec<Effect>) {
+    fn cancel(&mut self, run: Run, observations: &mut Observations, effects: &mut Vec<Effect>) {
         if let Some(running) = self.runs.remove(&run) {
             observations.request_ended(self.now, &running.target);
             observations.connection_closed(&running.target);
@@ -532,61 +554,61 @@
         }
     }
 
-    fn give_up(&mut self, now: Time, effects: &mut Vec<Effect>) {
-        for open in self.jobs.values_mut() {
-            if now < open.work.keep_until {
+    fn give_up_expired(&mut self, now: Time, effects: &mut Vec<Effect>) {
+        for active in self.jobs.values_mut() {
+            if now < active.work.keep_until {
                 continue;
             }
-            for at in 0..open.progress.len() {
-                let progress = &mut open.progress[at];
-                if progress.mine && progress.stage == Stage::Idle {
+            for at in 0..active.progress.len() {
+                let progress = &mut active.progress[at];
+                if progress.assigned && progress.stage == Stage::Idle {
                     progress.stage = Stage::Delivering;
-                    effects.push(Effect::GiveUp(Slot { job: open.work.job.clone(), at }));
+                    effects.push(Effect::GiveUp(Slot { job: active.work.job.clone(), at }));
                 }
             }
         }
     }
 
-    fn start(
+    fn start_samples(
         &mut self,
         now: Time,
         fleet: &Fleet,
         observations: &mut Observations,
         effects: &mut Vec<Effect>,
     ) {
-        let salt = xxhash_rust::xxh3::xxh3_64(self.me.as_bytes());
+        let salt = xxhash_rust::xxh3::xxh3_64(self.own_id.as_bytes());
         for job in &self.arrival {
-            let Some(open) = self.jobs.get_mut(job) else {
+            let Some(active) = self.jobs.get_mut(job) else {
                 continue;
             };
-            if self.stale.contains(&open.work.part) {
+            if self.stale.contains(&active.work.part) {
                 continue;
             }
-            let longest = open.work.samples.iter().map(|item| item.tokens).max().unwrap_or(1);
+            let longest = active.work.samples.iter().map(|item| item.tokens).max().unwrap_or(1);
             let is_due = |progress: &Progress| {
-                progress.mine && progress.stage == Stage::Idle && now >= progress.not_before
+                progress.assigned && progress.stage == Stage::Idle && now >= progress.not_before
             };
-            if !open.progress.iter().any(is_due) {
+            if !active.progress.iter().any(is_due) {
                 continue;
             }
-            let samples = open.progress.iter().filter(|progress| progress.mine).count();
-            let who = Who { salt, domain: &self.domain, samples };
-            open.locality.renew(now, who, &open.work, fleet, observations);
-            let work = &open.work;
-            let targets = open.locality.targets(work, fleet);
-            for &at in &open.order {
-                let progress = &mut open.progress[at];
+            let samples = active.progress.iter().filter(|progress| progress.assigned).count();
+            let selector = Selector { salt, domain: &self.domain, samples };
+            active.locality.refresh(now, selector, &active.work, fleet, observations);
+            let work = &active.work;
+            let targets = active.locality.targets(work, fleet);
+            for &at in &active.order {
+                let progress = &mut active.progress[at];
                 if !is_due(progress) {
                     continue;
                 }
                 let need = Need {
-                    events: f64::from(work.samples[at].tokens) / TOKENS_AN_EVENT,
-                    max_load: MOST_LOAD,
+                    events: f64::from(work.samples[at].tokens) / TOKENS_PER_EVENT,
+                    max_load: MAX_LOAD,
                     instances: self.members.len() as f64,
                     salt: salt ^ self.next_run,
                 };
                 let Some(target) = observations.choose(now, targets.iter().copied(), need) else {
-                    open.locality.ran_dry();
+                    active.locality.mark_exhausted();
                     break;
                 };
                 let run = Run(self.next_run);
@@ -598,8 +620,8 @@
                     slot: slot.clone(),
                     target: target.id.clone(),
                     born: target.born,
-                    head: false,
-                    heard_at: now,
+                    answered: false,
+                    last_event_at: now,
                     events: 0,
                 };
                 self.runs.insert(run, running);
@@ -610,8 +632,9 @@
     }
 }
 
-/// Rank of a sample at a target: 4 to 8, long ones first, after those that an
-/// earlier step asked for. Live traffic ranks before all samples.
+/// Priority of a sample at a target, 4 to 8: resumed samples first, then the
+/// longer the sample, the higher its priority. Live traffic has priority over
+/// all samples.
 fn priority(item: &Item, longest: u32) -> u8 {
     const FIRST: u64 = 4;
     const STEPS: u64 = 4;
--- a/crates/hollywell/src/core/dispatch/owners.rs
+++ b/crates/hollywell/src/core/dispatch/owners.rs
@@ -1,16 +1,17 @@
-//! Who runs which group of a job's samples.
+//! Assigns the groups of a job's samples to instances.
 //!
-//! Rendezvous hashing: each group is the member's with the highest hash of
-//! both, so that a change of the members moves only what it must. Looking at
-//! all members for all groups at each change is their product; a change of one
-//! member concerns the groups that it had, and for all others one hash decides.
+//! Rendezvous hashing: a group is owned by the member with the highest hash of
+//! both, so that a membership change moves only the groups that it must.
+//! Hashing all members for all groups at each change costs their product; if
+//! one member changes, only its own groups are searched again, and for all
+//! others one hash decides.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use super::Work;
 
-/// The live instance that runs a group of a job: the one with the highest
-/// hash, so that a change of the members moves only what it must.
+/// The live instance that runs a group of a job: the one with the highest hash,
+/// so that a membership change moves only the groups that it must.
 ///
 /// # Example
 ///
@@ -44,7 +45,7 @@
 }
 
 impl Owners {
-    /// The owners among the members.
+    /// Computes the owners among the members.
     pub(super) fn new(members: &[String], work: &Work) -> Owners {
         let groups: BTreeSet<&str> = work.samples.iter().map(|item| item.group.as_str()).collect();
         let owned = |group: &str| owner(members, &work.job, group).map(str::to_owned);
@@ -52,43 +53,44 @@
         Owners { by_group }
     }
 
-    /// Takes over that the members have changed.
+    /// Applies a membership change.
     pub(super) fn change(&mut self, job: &str, members: &[String], change: &Change<'_>) {
         for (group, known) in &mut self.by_group {
-            let stays = known.as_deref().filter(|owner| !change.went.contains(owner));
-            let Some(owner) = stays else {
+            let current = known.as_deref().filter(|owner| !change.left.contains(owner));
+            let Some(owner) = current else {
                 *known = self::owner(members, job, group).map(str::to_owned);
                 continue;
             };
             let before = weight(job, group, owner);
-            let better = change.came.iter().map(|member| (weight(job, group, member), *member));
-            if let Some((_, member)) = better.max().filter(|(weight, _)| *weight > before) {
+            let candidates =
+                change.joined.iter().map(|member| (weight(job, group, member), *member));
+            if let Some((_, member)) = candidates.max().filter(|(weight, _)| *weight > before) {
                 *known = Some(member.to_owned());
             }
         }
     }
 
-    /// Whether a group is an instance's.
-    pub(super) fn is(&self, group: &str, member: &str) -> bool {
+    /// Whether an instance owns a group.
+    pub(super) fn is_owner(&self, group: &str, member: &str) -> bool {
         self.by_group.get(group).is_some_and(|owner| owner.as_deref() == Some(member))
     }
 }
 
-/// What has changed among the members.
+/// The difference between two lists of members.
 #[derive(Clone, Debug)]
 pub(super) struct Change<'a> {
-    came: Vec<&'a str>,
-    went: BTreeSet<&'a str>,
+    joined: Vec<&'a str>,
+    left: BTreeSet<&'a str>,
 }
 
 impl<'a> Change<'a> {
-    /// What is different between two lists of members.
+    /// Compares two lists of members.
     pub(super) fn between(before: &'a [String], after: &'a [String]) -> Change<'a> {
         let old: BTreeSet<&str> = before.iter().map(String::as_str).collect();
         let new: BTreeSet<&str> = after.iter().map(String::as_str).collect();
         Change {
-            came: new.difference(&old).copied().collect(),
-            went: old.difference(&new).copied().collect(),
+            joined: new.difference(&old).copied().collect(),
+            left: old.difference(&new).copied().collect(),
         }
     }
 }
