--- a/crates/hollywell/src/core/capacity.rs
+++ b/crates/hollywell/src/core/capacity.rs
@@ -1,20 +1,23 @@
-//! The store's room: how much of it is used, and for what it is left.
+//! The store's capacity: how much of it is used, and which appends the rest is
+//! reserved for.
 //!
-//! The store has a fixed room, and everything that an instance writes shares
-//! it: what may wait as well as what must never fail. So each append says
-//! what it is for, and the less it matters the sooner it has to wait: what
-//! is left when everything else is refused belongs to ends and drops.
+//! The store has a fixed size, and all that an instance writes shares it:
+//! records that may wait as well as records that must never fail. Each append
+//! therefore states its [`Purpose`], and the less important the purpose, the
+//! lower the fill level from which on the append has to wait. What is left when
+//! everything else is refused is reserved for ends of jobs and deletions.
 //!
 //! A store whose topics keep the newest record of each key counts a record
-//! twice: in its log, until that is trimmed or expires, and as the newest of
-//! its key, until that is dropped. [`Log`] says how far a log may be trimmed;
-//! which keys may be dropped is said by [`crate::core::batch::Spare`].
+//! twice: in its log, until the log is trimmed or the record expires, and as
+//! the newest record of its key, until the key is deleted. [`Log`] decides how
+//! far a log may be trimmed, [`crate::core::batch::Spare`] which keys may be
+//! deleted.
 //!
-//! Nobody is told how full the store is, so [`State`] adds up what is known
-//! from folding the records. It is an estimate, and the store's own refusal
-//! ([`State::record_refusal`]) counts for more.
+//! The store does not report its fill level, so [`State`] estimates it from the
+//! folded records. A refusal by the store itself ([`State::record_refusal`])
+//! takes precedence.
 //!
-//! What it leaves out: the appends themselves ([`crate::entry::store`]).
+//! The appends themselves are made in [`crate::entry::store`].
 
 use std::collections::VecDeque;
 
@@ -22,62 +25,64 @@
 
 use crate::core::time::Time;
 
-/// What a record takes in a log besides its key and value, in bytes, as
-/// measured at the users' store.
+/// Bytes that a record takes in a log besides its key and value, as measured at
+/// the users' store.
 pub const LOG_OVERHEAD: u64 = 41;
-/// What the newest record of a key takes besides its key and value, in
-/// bytes, as measured there.
+/// Bytes that the newest record of a key takes besides its key and value, as
+/// measured at the same store.
 pub const LIVE_OVERHEAD: u64 = 60;
 
-/// How long a record stays in its log before the log is trimmed, in
-/// milliseconds: readers are a second behind at most unless they are cut off,
-/// and then they begin anew from the newest records.
+/// Minimum age of records that are trimmed from a log, in milliseconds: readers
+/// lag by at most one second unless they are cut off, and then they start again
+/// from the newest records.
 pub const MIN_LOG_AGE_MS: u64 = 10_000;
-/// Time between two marks of a log, in milliseconds.
+/// Minimum time between two marks of a log, in milliseconds.
 const MARK_MS: u64 = 1_000;
-/// Share of the room that all logs together may take before they are trimmed.
-/// Old texts are read from the log at a fraction of the cost of reading them
-/// by their keys.
-const LOG_SHARE: f64 = 0.2;
-/// Share of the room up to which a job is accepted, of what is kept by
-/// promise and what the jobs that are accepted will add to it.
-const LIVE_SHARE: f64 = 0.6;
-/// How long records that nothing needs may take to be dropped, in
-/// milliseconds: drops are looked for each second, and are read after that.
-const DROP_MS: u64 = 3_000;
-/// How long the store's word that it is full counts, in milliseconds.
+/// Share of the capacity that all logs together may take before they are
+/// trimmed. Reading old texts from the log costs a fraction of reading them by
+/// their keys.
+const LOGS_SHARE: f64 = 0.2;
+/// Share of the capacity up to which jobs are accepted, by the bytes of live
+/// records plus those that accepted jobs will still add.
+const ADMISSION_SHARE: f64 = 0.6;
+/// How long unneeded records may take to be deleted, in milliseconds: the
+/// deletion runs each second, and its records are read after that.
+const DELETE_MS: u64 = 3_000;
+/// How long the store counts as full after it refused an append, in
+/// milliseconds.
 const FULL_MS: u64 = 1_000;
-/// Shortest and longest time that a caller is told to wait for room, in
-/// milliseconds: logs are trimmed and drops looked for each second, and a
-/// minute is longer than a trainer waits for a step.
-const COME_BACK_MS: (u64, u64) = (2_000, 60_000);
+/// Shortest and longest time that a caller is told to wait for free space, in
+/// milliseconds: logs are trimmed and records deleted each second, and a minute
+/// is longer than a trainer waits for a step.
+const RETRY_AFTER_MS: (u64, u64) = (2_000, 60_000);
 
-/// What an append is for.
+/// What an append is for. The names of the variants in logs, metrics and
+/// serialised form are given by [`Purpose::as_str`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Purpose {
     /// A job's end.
     End,
-    /// Records that nothing needs any more are dropped.
+    /// Deletion of records that are no longer needed.
     #[serde(rename = "drop")]
     Delete,
-    /// A claim of the lease on orders.
+    /// A claim of the lease for giving orders.
     Claim,
-    /// News for the other instances.
+    /// A hint for the other instances.
     #[serde(rename = "news")]
     Hint,
-    /// What is known against a request.
+    /// A record of a request suspected of ending its targets.
     Suspect,
-    /// What an instance counted, and what was decided of it.
+    /// Usage that an instance counted, or a decision on usage.
     Usage,
     /// A sample's result, without its text.
     Outcome,
-    /// A sample's whole text.
+    /// A sample's complete text.
     Text,
-    /// A sample's unfinished text, and the note of it.
+    /// A sample's partial text, and the record that refers to it.
     #[serde(rename = "unfinished")]
     PartialText,
-    /// A job's head: from then on it is accepted.
+    /// A job's manifest; the job is accepted once it is stored.
     #[serde(rename = "head")]
     Manifest,
     /// The requests of a job's samples.
@@ -85,7 +90,7 @@
 }
 
 impl Purpose {
-    /// Its name in logs and metrics.
+    /// The name in logs and metrics.
     ///
     /// # Example
     ///
@@ -111,8 +116,9 @@
         }
     }
 
-    /// Share of the room that may be used before an append of this use has to
-    /// wait. What others need to go on, and what frees room, goes on longest.
+    /// Share of the capacity up to which appends for this purpose are made.
+    /// What other instances need to proceed and what frees space is allowed
+    /// longest.
     const fn share(self) -> f64 {
         match self {
             Purpose::End | Purpose::Delete => f64::INFINITY,
@@ -123,13 +129,14 @@
         }
     }
 
-    /// Whether it may wait or be left out at no loss of what was promised.
+    /// Whether the append may be delayed or left out without breaking a
+    /// promise.
     const fn may_wait(self) -> bool {
         matches!(self, Purpose::PartialText | Purpose::Manifest | Purpose::Requests)
     }
 }
 
-/// Where a log stood at some time.
+/// The end of a log at some time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Mark {
     at: Time,
@@ -137,7 +144,7 @@
     written: u64,
 }
 
-/// One partition's log: what was written to it lately, and how far it may be
+/// One partition's log: what was written to it recently, and how far it may be
 /// trimmed.
 ///
 /// # Example
@@ -149,84 +156,88 @@
 /// for second in 0..60 {
 ///     log.record(Time(second * 1_000), second * 10, 1_000);
 /// }
-/// // 60 KB fit in what it may take.
+/// // 60 KB are within the limit.
 /// assert_eq!(log.trim_offset(Time(59_000), 100_000, None), None);
-/// // 20 KB do not: all but the last of them may go.
+/// // With a limit of 20 KB all but the last 20 KB are trimmed.
 /// assert_eq!(log.trim_offset(Time(59_000), 20_000, None), Some(390));
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct Log {
     marks: VecDeque<Mark>,
     written: u64,
-    /// Bytes written when it was last trimmed, or first seen.
-    cut: u64,
-    /// It was trimmed, or seen for as long as records live, so that what lies
-    /// in it is known.
-    known: bool,
+    /// Value of `written` up to which the log was trimmed, or when it was first
+    /// seen.
+    trimmed_bytes: u64,
+    /// Whether its contents are known: it was trimmed, or observed for the
+    /// whole retention time of its records.
+    is_known: bool,
 }
 
 impl Log {
-    /// Notes that it ends at `end`, `bytes` having been added since the last
-    /// note.
+    /// Records that the log ends at `end` and that `bytes` were added since the
+    /// last call.
     pub fn record(&mut self, now: Time, end: u64, bytes: u64) {
         self.written += bytes;
         let due = |last: &Mark| end > last.end && now.since(last.at) >= MARK_MS;
-        if self.marks.is_empty() && !self.known {
-            // What lay there before is not known; it is no news of this.
-            self.cut = self.written;
+        if self.marks.is_empty() && !self.is_known {
+            // What the log held before is not known and does not count as
+            // written now.
+            self.trimmed_bytes = self.written;
         }
         if self.marks.back().is_none_or(due) {
             self.marks.push_back(Mark { at: now, end, written: self.written });
         }
     }
 
-    /// Bytes that it holds, as far as is known. What lay in it when it was
-    /// first seen may be as much as it may take, `most`.
+    /// Estimated number of bytes in the log. While its initial contents are not
+    /// known they are assumed to be as large as the limit, `max`.
     #[must_use]
-    pub const fn bytes(&self, most: u64) -> u64 {
-        let unknown = if self.known { 0 } else { most };
-        self.written - self.cut + unknown
+    pub const fn bytes(&self, max: u64) -> u64 {
+        let unknown = if self.is_known { 0 } else { max };
+        self.written - self.trimmed_bytes + unknown
     }
 
-    /// Forgets what has expired: records live for `life_ms`.
+    /// Removes marks whose records have expired after the retention time
+    /// `life_ms`.
     pub fn expire(&mut self, now: Time, life_ms: u64) {
         let old = |mark: &Mark| now.since(mark.at) > life_ms;
         while let Some(mark) = self.marks.pop_front_if(|mark| old(mark)) {
-            self.known = true;
-            self.cut = self.cut.max(mark.written);
+            self.is_known = true;
+            self.trimmed_bytes = self.trimmed_bytes.max(mark.written);
         }
     }
 
-    /// The offset before which it should be trimmed, if it should be, where
-    /// it may take `most` bytes. If the store is `full`, it is trimmed up to
-    /// records of the age given, whatever it holds.
+    /// Returns the offset before which the log should be trimmed, if it should
+    /// be, where it may take `max` bytes. If the store is full, `full` is the
+    /// minimum age of the records that are trimmed, whatever the size of the
+    /// log.
     #[must_use]
-    pub fn trim_offset(&self, now: Time, most: u64, full: Option<u64>) -> Option<u64> {
-        let least_ms = full.unwrap_or(MIN_LOG_AGE_MS);
-        let old = |mark: &&Mark| now.since(mark.at) >= least_ms;
-        let enough = |mark: &&Mark| self.written - mark.written <= most;
+    pub fn trim_offset(&self, now: Time, max: u64, full: Option<u64>) -> Option<u64> {
+        let min_age_ms = full.unwrap_or(MIN_LOG_AGE_MS);
+        let old = |mark: &&Mark| now.since(mark.at) >= min_age_ms;
+        let enough = |mark: &&Mark| self.written - mark.written <= max;
         let mut olds = self.marks.iter().filter(old);
         let newest = olds.clone().next_back()?;
         if full.is_some() {
             return Some(newest.end);
         }
         let mark = olds.find(enough).unwrap_or(newest);
-        let due = mark.written > self.cut && self.written - self.cut > most;
+        let due = mark.written > self.trimmed_bytes && self.written - self.trimmed_bytes > max;
         due.then_some(mark.end)
     }
 
-    /// Notes that it was trimmed before an offset.
+    /// Records that the log was trimmed before an offset.
     pub fn trimmed(&mut self, before: u64) {
-        self.known = true;
+        self.is_known = true;
         while self.marks.front().is_some_and(|mark| mark.end <= before) {
             if let Some(mark) = self.marks.pop_front() {
-                self.cut = self.cut.max(mark.written);
+                self.trimmed_bytes = self.trimmed_bytes.max(mark.written);
             }
         }
     }
 }
 
-/// What is known of the room.
+/// What is known of the use of the store.
 ///
 /// # Example
 ///
@@ -237,111 +248,110 @@
 /// };
 ///
 /// let mut state = State::new(1_000_000);
-/// let (now, next_drop) = (Time(0), None);
+/// let (now, next_delete) = (Time(0), None);
 /// state.update(now, 500_000, 100_000, 50_000);
 /// assert!(state.allows(now, Purpose::Text, 1_000));
-/// assert!(state.admit(now, 40_000, next_drop).is_ok());
-/// // What is kept, what is to come and this job exceed 600 KB.
-/// assert!(state.admit(now, 60_000, next_drop).is_err());
-/// // The store's own word counts for more than any sum.
+/// assert!(state.admit(now, 40_000, next_delete).is_ok());
+/// // Live records, accepted jobs and this job exceed 600 KB.
+/// assert!(state.admit(now, 60_000, next_delete).is_err());
+/// // A refusal by the store takes precedence over the estimate.
 /// state.record_refusal(now);
-/// assert!(state.admit(now, 1, next_drop).is_err());
+/// assert!(state.admit(now, 1, next_delete).is_err());
 /// assert!(!state.allows(now, Purpose::PartialText, 1_000));
 /// assert!(state.allows(now, Purpose::End, 1_000_000));
 /// ```
 #[derive(Clone, Debug)]
 pub struct State {
-    room: u64,
+    total: u64,
     live: u64,
-    /// When `live` was taken over.
+    /// When `live` was last updated.
     live_at: Time,
     logs: u64,
-    to_come: u64,
-    /// Bytes that this instance has appended since the rest was added up.
+    expected: u64,
+    /// Bytes that this instance has appended since the last update.
     appended: u64,
     full_at: Option<Time>,
 }
 
 impl State {
-    /// The state of an instance that has seen nothing of a store with so
-    /// many bytes of room.
+    /// The state of an instance that has read nothing of a store with so many
+    /// bytes of capacity.
     #[must_use]
-    pub const fn new(room: u64) -> State {
-        State { room, live: 0, live_at: Time(0), logs: 0, to_come: 0, appended: 0, full_at: None }
+    pub const fn new(total: u64) -> State {
+        State { total, live: 0, live_at: Time(0), logs: 0, expected: 0, appended: 0, full_at: None }
     }
 
-    /// Takes over what is known: bytes of the newest records of keys that are
-    /// needed, of logs, and what accepted jobs will add.
-    pub fn update(&mut self, now: Time, live: u64, logs: u64, to_come: u64) {
-        // What nothing needs any more is there until it is dropped, which
-        // takes a while, and for as long as a full store drops nothing.
-        let dropped = now.since(self.live_at) >= DROP_MS && !self.is_full(now);
-        if live >= self.live || dropped {
+    /// Updates the estimate: bytes of live records, bytes of logs, and bytes
+    /// that accepted jobs will add.
+    pub fn update(&mut self, now: Time, live: u64, logs: u64, expected: u64) {
+        // Records that are no longer needed take space until they are deleted,
+        // which takes a while, and a full store deletes nothing.
+        let deleted = now.since(self.live_at) >= DELETE_MS && !self.is_full(now);
+        if live >= self.live || deleted {
             self.live = live;
             self.live_at = now;
         }
         self.logs = logs;
-        self.to_come = to_come;
+        self.expected = expected;
         self.appended = 0;
     }
 
-    /// Notes that this instance has appended so many bytes: what is known is
-    /// added up each second only, and a burst must not outrun that.
+    /// Adds bytes that this instance has appended: the estimate is updated only
+    /// once a second, and a burst must not exceed the limits meanwhile.
     pub const fn appended(&mut self, bytes: u64) {
         self.appended = self.appended.saturating_add(bytes);
     }
 
-    /// Notes that the store had no room.
+    /// Records that the store refused an append because it was full.
     pub const fn record_refusal(&mut self, now: Time) {
         self.full_at = Some(now);
     }
 
-    /// Whether the store said lately that it is full.
+    /// Whether the store recently refused an append because it was full.
     #[must_use]
     pub fn is_full(&self, now: Time) -> bool {
         self.full_at.is_some_and(|at| now.since(at) < FULL_MS)
     }
 
-    /// Bytes in use, as far as is known.
+    /// Estimated number of bytes in use.
     #[must_use]
     pub const fn used(&self) -> u64 {
         self.live.saturating_add(self.logs).saturating_add(self.appended)
     }
 
-    /// Bytes of room.
+    /// The capacity in bytes.
     #[must_use]
     pub const fn total(&self) -> u64 {
-        self.room
+        self.total
     }
 
-    /// Bytes that one log of so many may take before it is trimmed.
+    /// Bytes that each of so many logs may take before it is trimmed.
     #[must_use]
     pub fn max_log_bytes(&self, logs: usize) -> u64 {
-        (self.room as f64 * LOG_SHARE) as u64 / logs.max(1) as u64
+        (self.total as f64 * LOGS_SHARE) as u64 / logs.max(1) as u64
     }
 
-    /// Whether an append of some use, which adds so many bytes to what the
-    /// store holds, should be made now.
+    /// Whether an append that adds so many bytes should be made now.
     #[must_use]
     pub fn allows(&self, now: Time, purpose: Purpose, bytes: u64) -> bool {
         let waits = purpose.may_wait() && self.is_full(now);
         let then = self.used().saturating_add(bytes);
-        !waits && (then as f64) < self.room as f64 * purpose.share()
+        !waits && (then as f64) < self.total as f64 * purpose.share()
     }
 
-    /// Whether a job that will take so many bytes may be accepted.
+    /// Decides whether a job that will take so many bytes may be accepted.
     ///
     /// # Errors
     ///
-    /// The time in milliseconds after which there should be room, where
-    /// `next_drop_ms` is when records will be dropped next.
-    pub fn admit(&self, now: Time, bytes: u64, next_drop_ms: Option<u64>) -> Result<(), u64> {
-        let kept = self.live.saturating_add(self.to_come).saturating_add(bytes);
-        let (least, most) = COME_BACK_MS;
-        if kept as f64 > self.room as f64 * LIVE_SHARE {
-            return Err(next_drop_ms.unwrap_or(least).clamp(least, most));
+    /// The time in milliseconds after which there should be free space;
+    /// `next_delete_ms` is the time until records are deleted next.
+    pub fn admit(&self, now: Time, bytes: u64, next_delete_ms: Option<u64>) -> Result<(), u64> {
+        let kept = self.live.saturating_add(self.expected).saturating_add(bytes);
+        let (min, max) = RETRY_AFTER_MS;
+        if kept as f64 > self.total as f64 * ADMISSION_SHARE {
+            return Err(next_delete_ms.unwrap_or(min).clamp(min, max));
         }
-        // Else it is logs that take the room, which are trimmed each second.
-        if self.allows(now, Purpose::Manifest, bytes) { Ok(()) } else { Err(least) }
+        // Otherwise the space is taken by logs, which are trimmed each second.
+        if self.allows(now, Purpose::Manifest, bytes) { Ok(()) } else { Err(min) }
     }
 }
