--- a/crates/hollywell/src/core/ending.rs
+++ b/crates/hollywell/src/core/ending.rs
@@ -1,19 +1,20 @@
-//! Ends of jobs that were asked for and are not in the store yet: a reducer.
+//! Tracks requested ends of jobs that are not in the store yet. A pure reducer.
 //!
-//! A trainer that ends a job wants nothing more of it, whatever becomes of
-//! the append that says so. So the instance that was asked stops the job at
-//! once, tells its peers directly, and appends the end again and again until
-//! it is read back; whoever was told does the same, more slowly. An end that
-//! is only a refused call was tried: with a store that refused for 24 s the
-//! samples of ended jobs went on being sent.
+//! A trainer that ends a job wants nothing more of it, whether or not the
+//! append of the end succeeds. The instance that receives the request therefore
+//! stops the job at once, notifies its peers directly, and repeats the append
+//! until the end is read back. Peers that were notified do the same, but more
+//! slowly. Only refusing the request was tried instead: with a store that
+//! refused appends for 24 s, samples of ended jobs continued to be sent.
 //!
-//! What is held here is lost with the process. An instance that starts is
-//! told by those that hold ends as soon as they read that it lives; if all
-//! instances lose power at once, only what the store has is left, which is
-//! why ends always find room there ([`crate::core::capacity`]).
+//! Pending ends are in memory and lost with the process. A starting instance is
+//! notified by those that have pending ends as soon as they read that it is a
+//! member. If all instances lose power at once, only what the store has
+//! remains, which is why the store always has space for ends
+//! ([`crate::core::capacity`]).
 //!
-//! What it leaves out: the calls themselves, and what an ended job means to
-//! others ([`crate::core::dispatch`], [`crate::core::batch`]).
+//! The calls themselves, and what the end of a job means to others, are handled
+//! elsewhere ([`crate::core::dispatch`], [`crate::core::batch`]).
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -21,45 +22,50 @@
 
 use crate::core::time::Time;
 
-/// Time between two appends of an end by the instance that was asked, in
-/// milliseconds, at first and at most: a store that is back is noticed well
-/// within the seconds that an end may take.
+/// Back-off between appends of an end by the instance that received the
+/// request, in milliseconds; multiplied by the number of failures, up to
+/// [`RETRY_MAX_MS`]. A store that has recovered is noticed well within the
+/// seconds that an end may take.
 const RETRY_MS: u64 = 150;
 /// See [`RETRY_MS`].
-const RETRY_MOST_MS: u64 = 1_000;
-/// The same for instances that were told, times their rank by tens: all
-/// together they make a few calls a second, and the first ones soon.
-const TOLD_RETRY_MS: u64 = 1_500;
-/// How long an end that was appended may take to be read here before it is
-/// appended again, in milliseconds.
-const READ_MS: u64 = 5_000;
-/// Time between two tries to tell a peer that did not confirm, in
+const RETRY_MAX_MS: u64 = 1_000;
+/// The same for instances that were notified, multiplied by their rank in tens:
+/// all of them together make a few calls a second, and the first ones try soon.
+const NOTIFIED_RETRY_MS: u64 = 1_500;
+/// How long an appended end may take to be read back before it is appended
+/// again, in milliseconds.
+const READ_BACK_MS: u64 = 5_000;
+/// Interval between notifications of a peer that did not confirm, in
 /// milliseconds.
-const TELL_MS: u64 = 300;
-/// How many of those that follow it an instance tells of ends that it was
-/// told itself. The instance that was asked tells all; should it be lost
-/// meanwhile, or somebody start, this still reaches everybody. If all told
-/// all, each end would cost the square of the instances.
+const NOTIFY_MS: u64 = 300;
+/// Number of following members that an instance notifies of ends of which it
+/// was notified itself. The instance that received the request notifies all; if
+/// it is lost meanwhile, or an instance starts, this still reaches every
+/// member. If all notified all, the cost of each end would be quadratic in the
+/// number of instances.
 const RELAYS: usize = 2;
-/// How long an end is held whose job is not known here, in milliseconds: a
-/// job may be accepted by another instance and read here a little later.
+/// How long an end is kept if its job is not known here, in milliseconds:
+/// another instance may have accepted the job, and its records may be read a
+/// little later.
 const UNKNOWN_MS: u64 = 30_000;
-/// Most ends that are held; the oldest go first. A fleet asks for a few a
-/// second, so this is minutes of a store that takes nothing.
-const MOST: usize = 4_096;
+/// Maximum number of pending ends; the oldest are evicted first. A fleet
+/// requests a few a second, so this covers minutes in which the store accepts
+/// nothing.
+const MAX_PENDING: usize = 4_096;
 
-/// What happened.
+/// Input of the reducer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Event {
-    /// A caller asked for a job's end here.
+    /// A caller requested the end of a job at this instance.
     #[serde(rename = "Asked")]
     Requested {
         /// The job.
         job: String,
-        /// It is known here; else another instance may have accepted it.
+        /// Whether the job is known here; if not, another instance may have
+        /// accepted it.
         known: bool,
     },
-    /// A peer says that ends of jobs were asked for.
+    /// A peer reports that ends of jobs were requested.
     #[serde(rename = "Told")]
     Reported {
         /// The peer, if it is known.
@@ -67,16 +73,17 @@
         /// The jobs.
         jobs: Vec<String>,
     },
-    /// A job's end was read, or its records were dropped: nothing is left to
-    /// be done.
+    /// A job's end was read back, or its records were deleted: nothing is left
+    /// to do.
     Settled(String),
-    /// A job's end was appended. It is held until it is read.
+    /// A job's end was appended. It stays pending until it is read back.
     Stored(String),
     /// An append of a job's end failed.
     Failed {
         /// The job.
         job: String,
-        /// The store did nothing; else it may have appended it.
+        /// Whether the store certainly did nothing; if not, it may have
+        /// appended the end.
         refused: bool,
     },
     /// A peer has confirmed ends.
@@ -90,19 +97,19 @@
     Tick {
         /// The live instances.
         members: Vec<String>,
-        /// Jobs that are held and known here.
+        /// Jobs that have pending ends and are known here.
         known: BTreeSet<String>,
     },
 }
 
-/// What is to be done.
+/// Output of the reducer: an action for the driver.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Effect {
-    /// Run nothing more of a job.
+    /// Stop running the job.
     Close(String),
     /// Append a job's end.
     Append(String),
-    /// Tell a peer of ends.
+    /// Notify a peer of requested ends.
     #[serde(rename = "Tell")]
     Notify {
         /// The peer.
@@ -113,30 +120,31 @@
 }
 
 #[derive(Clone, Debug)]
-struct Held {
+struct Pending {
     since: Time,
-    /// A caller asked here.
-    own: bool,
-    /// An append is under way.
-    appending: bool,
+    /// Whether a caller requested the end at this instance.
+    is_origin: bool,
+    /// Whether an append is in flight.
+    append_in_flight: bool,
     append_at: Time,
-    tries: u32,
-    /// The store cannot be counted on to spread the end: an append failed.
-    failed: bool,
-    /// The last append was refused.
+    failures: u32,
+    /// Whether peers have to be notified, since the store may not distribute
+    /// the end: an append failed, or none was possible yet.
+    notify_peers: bool,
+    /// Whether the last append was refused.
     refused: bool,
-    /// It was appended, and is not read yet.
+    /// Whether it was appended, and not yet read back.
     stored: bool,
     confirmed: BTreeSet<String>,
 }
 
-/// How many tens of live instances try to append a job's end before this one.
-fn rank(members: &[String], me: &str, job: &str) -> u64 {
+/// Number of tens of live instances that append a job's end before this one.
+fn rank(members: &[String], own_id: &str, job: &str) -> u64 {
     const AT_ONCE: usize = 10;
     let count = members.len().max(1);
     let first = (xxhash_rust::xxh3::xxh3_64(job.as_bytes()) % count as u64) as usize;
-    let mine = members.iter().position(|member| member == me).unwrap_or(0);
-    ((mine + count - first) % count / AT_ONCE) as u64
+    let position = members.iter().position(|member| member == own_id).unwrap_or(0);
+    ((position + count - first) % count / AT_ONCE) as u64
 }
 
 /// The reducer's state.
@@ -151,57 +159,57 @@
 ///
 /// let mut state = State::new("a@10.0.0.1:80/1");
 /// let effects = state.step(Time(0), &Event::Requested { job: "j".into(), known: true });
-/// // The job stops before anything is known of the append.
+/// // The job stops before the result of the append is known.
 /// assert_eq!(effects, [Effect::Close("j".into()), Effect::Append("j".into())]);
-/// assert!(state.holds("j"));
+/// assert!(state.is_pending("j"));
 /// state.step(Time(5), &Event::Settled("j".into()));
-/// assert!(!state.holds("j"));
+/// assert!(!state.is_pending("j"));
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct State {
-    me: String,
-    held: BTreeMap<String, Held>,
-    /// When each peer was last told something that it has not confirmed.
-    told_at: BTreeMap<String, Time>,
+    own_id: String,
+    pending: BTreeMap<String, Pending>,
+    /// When each peer was last notified of something that it has not confirmed.
+    notified_at: BTreeMap<String, Time>,
 }
 
 impl State {
-    /// The state of an instance that holds nothing.
+    /// The state of an instance without pending ends.
     #[must_use]
-    pub fn new(me: &str) -> State {
-        State { me: me.to_owned(), ..State::default() }
+    pub fn new(own_id: &str) -> State {
+        State { own_id: own_id.to_owned(), ..State::default() }
     }
 
-    /// Whether a job's end is held: nothing of it may be run.
+    /// Whether a job's end is pending: nothing of the job may be run.
     #[must_use]
-    pub fn holds(&self, job: &str) -> bool {
-        self.held.contains_key(job)
+    pub fn is_pending(&self, job: &str) -> bool {
+        self.pending.contains_key(job)
     }
 
-    /// Whether a held end was appended, and is only to be read yet.
+    /// Whether a pending end was appended and only has to be read back.
     #[must_use]
     pub fn is_stored(&self, job: &str) -> bool {
-        self.held.get(job).is_some_and(|held| held.stored)
+        self.pending.get(job).is_some_and(|pending| pending.stored)
     }
 
-    /// Whether the last append of a held end was refused.
+    /// Whether the last append of a pending end was refused.
     #[must_use]
     pub fn is_refused(&self, job: &str) -> bool {
-        self.held.get(job).is_some_and(|held| held.refused)
+        self.pending.get(job).is_some_and(|pending| pending.refused)
     }
 
-    /// The jobs whose ends are held.
+    /// The jobs with pending ends.
     pub fn jobs(&self) -> impl Iterator<Item = &str> {
-        self.held.keys().map(String::as_str)
+        self.pending.keys().map(String::as_str)
     }
 
-    /// Takes an event in and returns what is to be done.
+    /// Applies an event and returns the resulting effects.
     pub fn step(&mut self, now: Time, event: &Event) -> Vec<Effect> {
         match event {
-            Event::Requested { job, known } => self.asked(now, job, *known),
-            Event::Reported { by, jobs } => self.told(now, by, jobs),
+            Event::Requested { job, known } => self.requested(now, job, *known),
+            Event::Reported { by, jobs } => self.reported(now, by, jobs),
             Event::Settled(job) => {
-                self.held.remove(job);
+                self.pending.remove(job);
                 vec![]
             }
             Event::Stored(job) => {
@@ -220,128 +228,137 @@
         }
     }
 
-    fn asked(&mut self, now: Time, job: &str, known: bool) -> Vec<Effect> {
-        let mut effects = self.hold(now, job, true);
-        let Some(held) = self.held.get_mut(job) else {
+    fn requested(&mut self, now: Time, job: &str, known: bool) -> Vec<Effect> {
+        let mut effects = self.add(now, job, true);
+        let Some(pending) = self.pending.get_mut(job) else {
             return effects;
         };
-        held.own = true;
-        // An end that cannot be appended yet is spread by telling.
-        held.failed |= !known;
-        if known && !held.appending {
-            held.appending = true;
+        pending.is_origin = true;
+        // An end that cannot be appended yet is distributed by notifying peers.
+        pending.notify_peers |= !known;
+        if known && !pending.append_in_flight {
+            pending.append_in_flight = true;
             effects.push(Effect::Append(job.to_owned()));
         }
         effects
     }
 
-    fn told(&mut self, now: Time, by: &str, jobs: &[String]) -> Vec<Effect> {
+    fn reported(&mut self, now: Time, by: &str, jobs: &[String]) -> Vec<Effect> {
         let mut effects = Vec::new();
         for job in jobs {
-            effects.extend(self.hold(now, job, false));
-            if let Some(held) = self.held.get_mut(job) {
-                held.failed = true;
-                held.confirmed.insert(by.to_owned());
+            effects.extend(self.add(now, job, false));
+            if let Some(pending) = self.pending.get_mut(job) {
+                pending.notify_peers = true;
+                pending.confirmed.insert(by.to_owned());
             }
         }
         effects
     }
 
-    fn hold(&mut self, now: Time, job: &str, own: bool) -> Vec<Effect> {
-        if self.held.contains_key(job) {
+    fn add(&mut self, now: Time, job: &str, is_origin: bool) -> Vec<Effect> {
+        if self.pending.contains_key(job) {
             return vec![];
         }
-        if self.held.len() >= MOST {
-            let oldest = self.held.iter().min_by_key(|(_, held)| held.since);
+        if self.pending.len() >= MAX_PENDING {
+            let oldest = self.pending.iter().min_by_key(|(_, pending)| pending.since);
             if let Some(oldest) = oldest.map(|(job, _)| job.clone()) {
-                self.held.remove(&oldest);
+                self.pending.remove(&oldest);
             }
         }
-        let held = Held {
+        let pending = Pending {
             since: now,
-            own,
-            appending: false,
-            append_at: if own { now } else { now.after(TOLD_RETRY_MS) },
-            tries: 0,
-            failed: false,
+            is_origin,
+            append_in_flight: false,
+            append_at: if is_origin { now } else { now.after(NOTIFIED_RETRY_MS) },
+            failures: 0,
+            notify_peers: false,
             refused: false,
             stored: false,
             confirmed: BTreeSet::new(),
         };
-        self.held.insert(job.to_owned(), held);
+        self.pending.insert(job.to_owned(), pending);
         vec![Effect::Close(job.to_owned())]
     }
 
     fn stored(&mut self, now: Time, job: &str) {
-        if let Some(held) = self.held.get_mut(job) {
-            held.appending = false;
-            held.failed = false;
-            held.stored = true;
-            held.append_at = now.after(READ_MS);
+        if let Some(pending) = self.pending.get_mut(job) {
+            pending.append_in_flight = false;
+            pending.notify_peers = false;
+            pending.stored = true;
+            pending.append_at = now.after(READ_BACK_MS);
         }
     }
 
     fn failed(&mut self, now: Time, job: &str, refused: bool) {
-        if let Some(held) = self.held.get_mut(job) {
-            held.appending = false;
-            held.failed = true;
-            held.refused = refused;
-            held.tries += 1;
-            let most = if held.own { RETRY_MOST_MS } else { u64::MAX };
-            let least = if held.own { RETRY_MS } else { TOLD_RETRY_MS };
-            held.append_at = now.after((least * u64::from(held.tries)).min(most));
+        if let Some(pending) = self.pending.get_mut(job) {
+            pending.append_in_flight = false;
+            pending.notify_peers = true;
+            pending.refused = refused;
+            pending.failures += 1;
+            let max_ms = if pending.is_origin { RETRY_MAX_MS } else { u64::MAX };
+            let step_ms = if pending.is_origin { RETRY_MS } else { NOTIFIED_RETRY_MS };
+            pending.append_at = now.after((step_ms * u64::from(pending.failures)).min(max_ms));
         }
     }
 
     fn confirmed(&mut self, member: &str, jobs: &[String]) {
-        self.told_at.remove(member);
+        self.notified_at.remove(member);
         for job in jobs {
-            if let Some(held) = self.held.get_mut(job) {
-                held.confirmed.insert(member.to_owned());
+            if let Some(pending) = self.pending.get_mut(job) {
+                pending.confirmed.insert(member.to_owned());
             }
         }
     }
 
     fn tick(&mut self, now: Time, members: &[String], known: &BTreeSet<String>) -> Vec<Effect> {
-        self.held.retain(|job, held| known.contains(job) || now.since(held.since) < UNKNOWN_MS);
-        self.told_at.retain(|member, _| members.contains(member));
+        self.pending
+            .retain(|job, pending| known.contains(job) || now.since(pending.since) < UNKNOWN_MS);
+        self.notified_at.retain(|member, _| members.contains(member));
         let mut effects = Vec::new();
-        for (job, held) in &mut self.held {
-            let wait_ms = if held.own { 0 } else { TOLD_RETRY_MS * rank(members, &self.me, job) };
-            if !held.appending && known.contains(job) && now >= held.append_at.after(wait_ms) {
-                held.appending = true;
+        for (job, pending) in &mut self.pending {
+            let wait_ms = if pending.is_origin {
+                0
+            } else {
+                NOTIFIED_RETRY_MS * rank(members, &self.own_id, job)
+            };
+            if !pending.append_in_flight
+                && known.contains(job)
+                && now >= pending.append_at.after(wait_ms)
+            {
+                pending.append_in_flight = true;
                 effects.push(Effect::Append(job.clone()));
             }
         }
-        if self.held.is_empty() {
+        if self.pending.is_empty() {
             return effects;
         }
         for (distance, member) in self.ring(members).into_iter().enumerate() {
-            let due = self.told_at.get(member).is_none_or(|at| now.since(*at) >= TELL_MS);
+            let due = self.notified_at.get(member).is_none_or(|at| now.since(*at) >= NOTIFY_MS);
             let jobs = self.unconfirmed(member, distance);
             if due && !jobs.is_empty() {
-                self.told_at.insert(member.clone(), now);
+                self.notified_at.insert(member.clone(), now);
                 effects.push(Effect::Notify { member: member.clone(), jobs });
             }
         }
         effects
     }
 
-    /// The other live instances, in the order in which they follow this one.
+    /// The other live instances, in ring order after this one.
     fn ring<'a>(&self, members: &'a [String]) -> Vec<&'a String> {
-        let after = members.iter().filter(|member| **member > self.me);
-        let before = members.iter().filter(|member| **member < self.me);
+        let after = members.iter().filter(|member| **member > self.own_id);
+        let before = members.iter().filter(|member| **member < self.own_id);
         after.chain(before).collect()
     }
 
-    /// Ends that a peer may not know of. One whose first append is under way
-    /// is not told yet: it mostly goes well, and then the store spreads it.
+    /// Ends that a peer may not know of. An end whose first append is in flight
+    /// is not included yet: the append usually succeeds, and then the store
+    /// distributes the end.
     fn unconfirmed(&self, member: &str, distance: usize) -> Vec<String> {
-        let open = |held: &Held| {
-            let mine = held.own || distance < RELAYS;
-            mine && held.failed && !held.confirmed.contains(member)
+        let is_unconfirmed = |pending: &Pending| {
+            let is_notifier = pending.is_origin || distance < RELAYS;
+            is_notifier && pending.notify_peers && !pending.confirmed.contains(member)
         };
-        let jobs = self.held.iter().filter(|(_, held)| open(held));
+        let jobs = self.pending.iter().filter(|(_, pending)| is_unconfirmed(pending));
         jobs.map(|(job, _)| job.clone()).collect()
     }
 }
--- a/crates/hollywell/src/core/poison.rs
+++ b/crates/hollywell/src/core/poison.rs
@@ -1,29 +1,33 @@
-//! Requests that end the targets which run them, as they come again.
+//! Detects poison requests: requests that end the targets which run them and
+//! are sent again and again.
 //!
-//! A caller that got no answer asks again, under another id and at another
-//! instance. What stays the same is who asks for what: a [`Digest`] of that
-//! names the request for as long as it comes. All instances fold the same
-//! records of which request was at a target when that ended, so that one
-//! instance's loss is everybody's warning.
+//! A caller that got no answer sends the request again, under another id and to
+//! another instance. What stays the same is the caller and the request's
+//! content; a [`Digest`] of both identifies the request across retries. All
+//! instances fold the same records of which request was at a target when that
+//! target ended, so that each of them knows what one has observed.
 //!
-//! Answers the load of callers, scoring requests above all, that send dozens
-//! of culprits among many innocent requests, again and again.
+//! This guards against callers, above all of scoring requests, that repeatedly
+//! send dozens of poison requests among many innocent ones.
 //!
-//! When a target ends, whatever ran there breaks off, and mostly one request
-//! of many is to blame. Nobody can tell which by that one end. A request that
-//! is answered after all is innocent, and is forgotten at once; one that was
-//! at several ends without any that is still suspected is to blame. So is one
-//! that was at as many and alone at one of them: from its first end on a
-//! suspect is tried by itself, one at a time of all instances, at a target that
-//! gets nothing else meanwhile. Whoever else was at as many waits, longer with
-//! each end: that does not depend on what becomes of others, so that culprits
-//! that always come together cannot speak for each other.
+//! When a target ends, every request that ran there is interrupted, and usually
+//! only one of them is to blame. A single end does not tell which. The rules
+//! are:
 //!
-//! Times are of the day, in milliseconds since 1970: a record outlives the
-//! instances that wrote it, and is minutes old before its age matters.
+//! A request that is answered later is innocent and is forgotten at once. A
+//! request is to blame if it was at several ends at which no other suspect was.
+//! It is also to blame if it was at as many ends and alone at one of them: from
+//! its first end on a suspect is run as an isolated probe, one at a time over
+//! all instances, at a target that gets no other requests meanwhile. Any other
+//! request that was at as many ends has to wait, longer with each end. This
+//! wait does not depend on what becomes of other requests, so that poison
+//! requests that always arrive together cannot exonerate each other.
 //!
-//! What it leaves out: how an end is told from a broken connection, and how
-//! records are spread ([`crate::entry::suspects`]).
+//! Times are Unix times in milliseconds: a record outlives the instances that
+//! wrote it, and is minutes old before its age matters.
+//!
+//! How an end is distinguished from a broken connection, and how records are
+//! distributed, is in [`crate::entry::suspects`].
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -35,11 +39,11 @@
 
 pub use crate::core::malformed::Malformed;
 
-/// Bytes of a digest that are kept: so many that no caller can make one that
-/// names another caller's request.
+/// Length of a digest in bytes: enough that no caller can forge the digest of
+/// another caller's request.
 const DIGEST_BYTES: usize = 16;
 
-/// What one request has in common with the same request asked again.
+/// Identifies a request and its retries.
 ///
 /// # Example
 ///
@@ -48,14 +52,15 @@
 ///
 /// let digest = Digest::of(&["h.example", "/plain/x"], b"body");
 /// assert_eq!(digest, Digest::of(&["h.example", "/plain/x"], b"body"));
-/// // Where one part ends and the next begins counts.
+/// // The boundaries between the parts count.
 /// assert_ne!(digest, Digest::of(&["h.example/", "plain/x"], b"body"));
 /// ```
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Digest([u8; DIGEST_BYTES]);
 
 impl Digest {
-    /// The digest of what a request is for and who asks, and of its body.
+    /// The digest of parts that say what is requested and by whom, and of the
+    /// body.
     #[must_use]
     pub fn of(parts: &[&str], body: &[u8]) -> Digest {
         let mut hash = Sha256::new();
@@ -81,7 +86,7 @@
     }
 }
 
-/// Reads what [`Digest`] displays.
+/// Parses the format that [`Digest`] is displayed in.
 impl str::FromStr for Digest {
     type Err = Malformed;
 
@@ -99,105 +104,111 @@
     }
 }
 
-/// Targets that a request has ended before it is held back. Targets end for
-/// reasons of their own, now and then two while one request is retried.
+/// Number of ends of targets from which on a request to blame is held. Targets
+/// end for reasons of their own, now and then two while one request is retried.
 pub const TARGET_END_LIMIT: u32 = 3;
-/// Ends from which on a request that may or may not be to blame waits before
-/// it is tried again: where several culprits come together all the time, none
-/// stands out, and each end would bring the next.
+/// Number of ends from which on a request that may or may not be to blame waits
+/// before it is run again: where several poison requests arrive together all
+/// the time, none stands out, and each end would lead to the next.
 const DOUBTFUL: u32 = TARGET_END_LIMIT + 1;
-/// How long it waits, in milliseconds, by the ends since then; the last holds
-/// for all further ones. First short, so that what was merely there is served
-/// soon; so spread, it mostly meets no other suspect, and is served or stands
-/// out. After three tries more it must be as if it were to blame.
+/// Duration of that wait in milliseconds, by the number of ends since
+/// [`DOUBTFUL`]; the last entry applies to all further ends. It is short at
+/// first, so that a request that was there by chance is served soon. Spread out
+/// like this, a request rarely coincides with another suspect, and is either
+/// served or stands out. After three more attempts it has to be treated as if
+/// it were to blame.
 const DOUBT_MS: [u64; 4] = [2_000, 8_000, 120_000, 600_000];
-/// How long a request is held back since the last target that it ended, in
-/// milliseconds: what runs at the targets may be mended by then. Twice as
-/// long for each target more, so that one that is never mended costs a few
-/// targets a day.
+/// How long a request is held after the last target that it ended, in
+/// milliseconds: the software of the targets may be fixed by then. Twice as
+/// long for each further target, so that a request whose fault is never fixed
+/// costs a few targets a day.
 const HOLD_MS: u64 = 600_000;
-/// Doublings of that time: up to a day and a half.
+/// Maximum number of doublings of [`HOLD_MS`], which gives up to a day and a
+/// half.
 const HOLD_DOUBLINGS: u32 = 8;
-/// How long a request that is not held back is suspected, in milliseconds:
-/// callers ask again within seconds.
+/// How long a request that is not held is suspected, in milliseconds: callers
+/// retry within seconds.
 const SUSPECT_MS: u64 = 600_000;
-/// Time after which a target that ends again must have started in between, in
-/// milliseconds: sends that saw one end tell of it well within that.
-const AGAIN_MS: u64 = 500;
-/// How long after an end a target is kept free for trials, in milliseconds:
-/// callers come back within seconds.
-const TRYING_MS: u64 = 5_000;
-/// Requests that are remembered; those that ended least go first. A target
-/// that ends brings a few dozen.
-const MOST: usize = 4_096;
-/// Lives of targets that are remembered of one request; enough to tell it
-/// from others.
-const MOST_LIVES: usize = 16;
-
-/// What is kept of a request in the store.
+/// Time after which a second end reported for the same incarnation of a target
+/// must be that of a later one, in milliseconds: requests that were interrupted
+/// by the same end report it well within that time.
+const SAME_END_MS: u64 = 500;
+/// How long after an end a target is kept free for probes, in milliseconds:
+/// callers retry within seconds.
+const PROBE_WINDOW_MS: u64 = 5_000;
+/// Maximum number of requests that are remembered; those with the fewest ends
+/// are evicted first. A target that ends adds a few dozen.
+const MAX_CASES: usize = 4_096;
+/// Maximum number of incarnations of targets that are remembered per request;
+/// enough to distinguish it from others.
+const MAX_INCARNATIONS: usize = 16;
+
+/// The record of a request in the store.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
-struct Kept {
-    /// Lives of targets that ended while it was there.
+struct StoredCase {
+    /// Incarnations of targets that ended while the request was there.
     #[prost(string, repeated, tag = "1")]
-    lives: Vec<String>,
-    /// How many that were.
+    incarnations: Vec<String>,
+    /// Number of ends.
     #[prost(uint32, tag = "2")]
     ends: u32,
-    /// When the last of them ended, in milliseconds since 1970.
+    /// Unix time of the last end, in milliseconds.
     #[prost(uint64, tag = "3")]
     last_ms: u64,
-    /// Those of the lives at which nothing else was sent meanwhile.
+    /// Those of the incarnations at which no other request ran meanwhile.
     #[prost(string, repeated, tag = "4")]
-    alone: Vec<String>,
+    isolated: Vec<String>,
 }
 
 /// What is known of one request.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 struct Case {
-    lives: BTreeSet<String>,
+    incarnations: BTreeSet<String>,
     /// Those of them at which it was alone, as far as its sender knows.
-    alone: BTreeSet<String>,
+    isolated: BTreeSet<String>,
     ends: u32,
     last_ms: u64,
 }
 
 impl Case {
-    /// The life of a target that has ended, where `life` is what its sender
-    /// takes it for. One that ended before has started again since, and its new
-    /// entry was not read yet.
-    fn life_at(&self, now_ms: u64, life: &str) -> String {
-        if now_ms.saturating_sub(self.last_ms) < AGAIN_MS || !self.lives.contains(life) {
-            return life.to_owned();
+    /// The incarnation of a target that has ended; `incarnation` is the one
+    /// that the sender assumes. If that one has ended before, the target has
+    /// restarted since and its new entry was not read yet.
+    fn ended_incarnation(&self, now_ms: u64, incarnation: &str) -> String {
+        if now_ms.saturating_sub(self.last_ms) < SAME_END_MS
+            || !self.incarnations.contains(incarnation)
+        {
+            return incarnation.to_owned();
         }
-        let again = self.lives.iter().filter(|known| known.starts_with(life)).count();
-        format!("{life}+{again}")
+        let again = self.incarnations.iter().filter(|known| known.starts_with(incarnation)).count();
+        format!("{incarnation}+{again}")
     }
 
-    /// Adds a target's end; returns whether it was not known.
-    fn add(&mut self, at_ms: u64, life: &str) -> bool {
-        if self.lives.contains(life) {
+    /// Adds the end of a target. Returns whether it was not known before.
+    fn add(&mut self, at_ms: u64, incarnation: &str) -> bool {
+        if self.incarnations.contains(incarnation) {
             return false;
         }
         self.ends += 1;
         self.last_ms = self.last_ms.max(at_ms);
-        self.remember(life);
+        self.remember(incarnation);
         true
     }
 
-    /// Takes over what another instance knows. An end that both know counts
-    /// once; those that there is no room to remember are only counted.
-    fn merge(&mut self, kept: &Kept, last_ms: u64) {
-        kept.lives.iter().for_each(|life| self.remember(life));
-        let is_known = |life: &&String| self.lives.contains(*life);
-        self.alone.extend(kept.alone.iter().filter(is_known).cloned());
-        let lives = u32::try_from(self.lives.len()).unwrap_or(u32::MAX);
-        self.ends = self.ends.max(kept.ends).max(lives);
+    /// Merges the record of another instance. An end that both know counts
+    /// once; ends beyond [`MAX_INCARNATIONS`] are only counted.
+    fn merge(&mut self, stored: &StoredCase, last_ms: u64) {
+        stored.incarnations.iter().for_each(|incarnation| self.remember(incarnation));
+        let is_known = |incarnation: &&String| self.incarnations.contains(*incarnation);
+        self.isolated.extend(stored.isolated.iter().filter(is_known).cloned());
+        let incarnations = u32::try_from(self.incarnations.len()).unwrap_or(u32::MAX);
+        self.ends = self.ends.max(stored.ends).max(incarnations);
         self.last_ms = self.last_ms.max(last_ms);
     }
 
-    fn remember(&mut self, life: &str) {
-        if self.lives.len() < MOST_LIVES {
-            self.lives.insert(life.to_owned());
+    fn remember(&mut self, incarnation: &str) {
+        if self.incarnations.len() < MAX_INCARNATIONS {
+            self.incarnations.insert(incarnation.to_owned());
         }
     }
 
@@ -205,8 +216,8 @@
         HOLD_MS << self.ends.saturating_sub(TARGET_END_LIMIT).min(HOLD_DOUBLINGS)
     }
 
-    /// How long it waits where it may or may not be to blame; `stands_out` if
-    /// nobody else who was there was at as many ends.
+    /// How long the request waits if it may or may not be to blame;
+    /// `stands_out` if no other request that was there was at as many ends.
     fn doubt_ms(&self, stands_out: bool) -> u64 {
         let ends = self.ends + u32::from(stands_out);
         match ends.checked_sub(DOUBTFUL) {
@@ -215,38 +226,39 @@
         }
     }
 
-    /// Whether nothing follows from it any more. Who was held back stays
-    /// known for as long again, so that one end more is enough.
-    fn is_over(&self, now_ms: u64) -> bool {
+    /// Whether the case has expired. A request that was held stays known for as
+    /// long again, so that one more end is enough to hold it.
+    fn is_expired(&self, now_ms: u64) -> bool {
         let keep_ms = if self.ends < TARGET_END_LIMIT { SUSPECT_MS } else { 2 * self.hold_ms() };
         now_ms.saturating_sub(self.last_ms) >= keep_ms
     }
 }
 
-/// What is to be done with a request.
+/// How to treat a request. The variant names are written to logs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// Nothing is known against it.
+    /// The request is not suspected.
     Free,
-    /// It was at a target that ended, and has not been answered since.
+    /// The request was at a target that ended, and has not been answered since.
     Suspect,
-    /// It is to reach no target for so many milliseconds.
+    /// The request must not be sent to any target for so many milliseconds.
     Held(u64),
 }
 
-/// How long a suspect waits for a second sound target, in milliseconds: most
-/// targets that ended are back by then. Where no other comes, the last one is
-/// all there is.
+/// How long a suspect waits for a second usable target, in milliseconds: most
+/// targets that ended are back by then. If no other appears, the suspect is
+/// sent to the last one.
 pub const LAST_TARGET_WAIT_MS: u64 = 5_000;
 
-/// How long a suspect waits after an end before it is tried, in milliseconds:
-/// what was at the target that is kept free for it is answered by then.
+/// How long a suspect waits after an end before it is probed, in milliseconds:
+/// requests that ran at the target that is kept free for the probe are answered
+/// by then.
 pub const PROBE_DELAY_MS: u64 = 300;
 
-/// The target at which a suspect is tried, of those of its pool that are
-/// `sound`: the same one for all instances and all suspects, so that they
-/// meet each other there and the other targets go on serving. `None` while it
-/// would be the last one.
+/// The target for probing suspects, of the usable targets of their pool: the
+/// same one for all instances and all suspects, so that suspects are only run
+/// beside each other and the other targets go on serving. `None` while it would
+/// be the only usable target.
 ///
 /// # Example
 ///
@@ -255,18 +267,18 @@
 ///
 /// assert_eq!(probe_target(&["a", "b", "c"], 0), probe_target(&["c", "b", "a"], 0));
 /// assert_eq!(probe_target(&["a"], 0), None);
-/// // Nobody else is to be had.
+/// // No other target has appeared.
 /// assert_eq!(probe_target(&["a"], LAST_TARGET_WAIT_MS), Some("a"));
 /// ```
 #[must_use]
-pub fn probe_target<'a>(sound: &[&'a str], since_end_ms: u64) -> Option<&'a str> {
-    if sound.len() < 2 && since_end_ms < LAST_TARGET_WAIT_MS {
+pub fn probe_target<'a>(usable: &[&'a str], since_end_ms: u64) -> Option<&'a str> {
+    if usable.len() < 2 && since_end_ms < LAST_TARGET_WAIT_MS {
         return None;
     }
-    sound.iter().copied().min_by_key(|id| xxhash_rust::xxh3::xxh3_64(id.as_bytes()))
+    usable.iter().copied().min_by_key(|id| xxhash_rust::xxh3::xxh3_64(id.as_bytes()))
 }
 
-/// All requests that were at a target when it ended.
+/// All suspected requests.
 ///
 /// # Example
 ///
@@ -279,7 +291,7 @@
 ///     state.record_target_end(1_000, culprit, life);
 ///     state.record_target_end(1_000, other, life);
 /// }
-/// // Either may be to blame, until one is answered.
+/// // Either may be to blame, until one of them is answered.
 /// assert_eq!(state.verdict(1_000, culprit), Verdict::Suspect);
 /// state.record_answer(other);
 /// assert!(matches!(state.verdict(1_000, culprit), Verdict::Held(_)));
@@ -291,155 +303,175 @@
 }
 
 impl State {
-    /// Whether nothing is known against any request.
+    /// Whether no request is suspected.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.cases.is_empty()
     }
 
-    /// How many requests something is known against.
+    /// Number of suspected requests.
     #[must_use]
     pub fn len(&self) -> usize {
         self.cases.len()
     }
 
-    /// What is to be done with a request.
+    /// Decides how to treat a request.
     #[must_use]
     pub fn verdict(&self, now_ms: u64, digest: Digest) -> Verdict {
-        let Some(case) = self.cases.get(&digest).filter(|case| !case.is_over(now_ms)) else {
+        let Some(case) = self.cases.get(&digest).filter(|case| !case.is_expired(now_ms)) else {
             return Verdict::Free;
         };
         let until_ms = case.last_ms.saturating_add(self.hold_ms(digest, case));
         if now_ms < until_ms { Verdict::Held(until_ms - now_ms) } else { Verdict::Suspect }
     }
 
-    /// How long a request is held back since the last end under it.
+    /// How long a request is held or waits after its last end.
     fn hold_ms(&self, digest: Digest, case: &Case) -> u64 {
-        let by_itself = self.unexplained(digest, case, |_| true);
-        if by_itself >= TARGET_END_LIMIT || self.was_alone(digest, case) {
+        let unshared = self.unexplained(digest, case, |_| true);
+        if unshared >= TARGET_END_LIMIT || self.was_isolated(digest, case) {
             return case.hold_ms();
         }
         let stands_out =
-            self.unexplained(digest, case, |its| its.ends >= case.ends) >= TARGET_END_LIMIT;
+            self.unexplained(digest, case, |other| other.ends >= case.ends) >= TARGET_END_LIMIT;
         case.doubt_ms(stands_out)
     }
 
-    /// Whether a request that was at enough ends was tried by itself at one of
-    /// them, by what its sender saw and by what all others have told. What was
-    /// there too by chance, at its first end, does not speak for it: at a
-    /// pool's last sound target nothing can be kept away.
-    fn was_alone(&self, digest: Digest, case: &Case) -> bool {
-        let explains = |its: &Case, life: &String| its.ends > 1 && its.lives.contains(life);
-        let is_explained = |life: &String| {
-            self.cases.iter().any(|(other, its)| *other != digest && explains(its, life))
+    /// Whether a request that was at enough ends ran as an isolated probe at
+    /// one of them, by what its sender observed and what all other instances
+    /// recorded. Another request that was there too, but only by chance at its
+    /// first end, does not exonerate it: at the last usable target of a pool
+    /// other requests cannot be kept away.
+    fn was_isolated(&self, digest: Digest, case: &Case) -> bool {
+        let explains = |other: &Case, incarnation: &String| {
+            other.ends > 1 && other.incarnations.contains(incarnation)
+        };
+        let is_explained = |incarnation: &String| {
+            self.cases.iter().any(|(id, other)| *id != digest && explains(other, incarnation))
         };
-        case.ends >= TARGET_END_LIMIT && case.alone.iter().any(|life| !is_explained(life))
+        case.ends >= TARGET_END_LIMIT
+            && case.isolated.iter().any(|incarnation| !is_explained(incarnation))
     }
 
-    /// How many targets ended under a request without any of those others.
-    /// Whoever was there too and is innocent is answered sooner or later, and
-    /// then no longer counts.
+    /// Number of targets that ended under a request while none of the other
+    /// requests selected by `explains` was there. An innocent request that was
+    /// there is answered sooner or later and then no longer counts.
     fn unexplained(&self, digest: Digest, case: &Case, explains: impl Fn(&Case) -> bool) -> u32 {
         if case.ends < TARGET_END_LIMIT {
             return 0;
         }
-        let others = self.cases.iter().filter(|(other, its)| {
-            **other != digest && !its.lives.is_disjoint(&case.lives) && explains(its)
+        let others = self.cases.iter().filter(|(id, other)| {
+            **id != digest && !other.incarnations.is_disjoint(&case.incarnations) && explains(other)
         });
-        let others: Vec<&Case> = others.map(|(_, its)| its).collect();
-        let is_own = |life: &&String| !others.iter().any(|its| its.lives.contains(*life));
-        u32::try_from(case.lives.iter().filter(is_own).count()).unwrap_or(u32::MAX)
+        let others: Vec<&Case> = others.map(|(_, other)| other).collect();
+        let is_own = |incarnation: &&String| {
+            !others.iter().any(|other| other.incarnations.contains(*incarnation))
+        };
+        u32::try_from(case.incarnations.iter().filter(is_own).count()).unwrap_or(u32::MAX)
     }
 
-    /// How long ago a target last ended under a request, in milliseconds.
+    /// Time since a target last ended under a request, in milliseconds.
     #[must_use]
     pub fn since_end_ms(&self, now_ms: u64, digest: Digest) -> Option<u64> {
         Some(now_ms.saturating_sub(self.cases.get(&digest)?.last_ms))
     }
 
-    /// Notes that a request was at a target when that life of it ended.
-    /// Returns whether that is news.
-    pub fn record_target_end(&mut self, now_ms: u64, digest: Digest, life: &str) -> bool {
-        self.note_end(now_ms, digest, life, false)
+    /// Records that a request was at a target when that incarnation of it
+    /// ended. Returns whether that was not known.
+    pub fn record_target_end(&mut self, now_ms: u64, digest: Digest, incarnation: &str) -> bool {
+        self.note_end(now_ms, digest, incarnation, false)
     }
 
-    /// The same for a request that was tried there by itself: what else is
-    /// sent to the pool was kept away from that target.
-    pub fn record_isolated_end(&mut self, now_ms: u64, digest: Digest, life: &str) -> bool {
-        self.note_end(now_ms, digest, life, true)
+    /// The same for a request that ran there as an isolated probe: other
+    /// requests to the pool were kept away from that target.
+    pub fn record_isolated_end(&mut self, now_ms: u64, digest: Digest, incarnation: &str) -> bool {
+        self.note_end(now_ms, digest, incarnation, true)
     }
 
-    fn note_end(&mut self, now_ms: u64, digest: Digest, life: &str, is_alone: bool) -> bool {
+    fn note_end(
+        &mut self,
+        now_ms: u64,
+        digest: Digest,
+        incarnation: &str,
+        is_isolated: bool,
+    ) -> bool {
         let case = self.cases.entry(digest).or_default();
-        let life = case.life_at(now_ms, life);
-        let is_news = case.add(now_ms, &life);
-        if is_alone && case.lives.contains(&life) {
-            case.alone.insert(life);
+        let incarnation = case.ended_incarnation(now_ms, incarnation);
+        let is_new = case.add(now_ms, &incarnation);
+        if is_isolated && case.incarnations.contains(&incarnation) {
+            case.isolated.insert(incarnation);
         }
         self.bound();
-        is_news
+        is_new
     }
 
-    /// Whether a suspect may be tried soon, so that a target is to be kept
+    /// Whether a suspect may be probed soon, so that a target has to be kept
     /// free for it.
     #[must_use]
     pub fn has_pending_probe(&self, now_ms: u64) -> bool {
-        self.cases.values().any(|case| now_ms.saturating_sub(case.last_ms) < TRYING_MS)
+        self.cases.values().any(|case| now_ms.saturating_sub(case.last_ms) < PROBE_WINDOW_MS)
     }
 
-    /// Notes that a target has answered a request, or goes on with it.
-    /// Returns whether something was known against it.
+    /// Records that a target has answered a request or continues to generate
+    /// it, which clears the request. Returns whether it was suspected.
     pub fn record_answer(&mut self, digest: Digest) -> bool {
         self.cases.remove(&digest).is_some()
     }
 
-    /// What the store is to keep of a request; `None` if nothing.
+    /// The record of a request to store; `None` if the request is not
+    /// suspected.
     #[must_use]
     pub fn record(&self, digest: Digest) -> Option<Vec<u8>> {
         let case = self.cases.get(&digest)?;
-        let (lives, alone) = (&case.lives, &case.alone);
-        let kept = Kept {
-            lives: lives.iter().cloned().collect(),
+        let (incarnations, isolated) = (&case.incarnations, &case.isolated);
+        let stored = StoredCase {
+            incarnations: incarnations.iter().cloned().collect(),
             ends: case.ends,
             last_ms: case.last_ms,
-            alone: alone.iter().cloned().collect(),
+            isolated: isolated.iter().cloned().collect(),
         };
-        Some(kept.encode_to_vec())
+        Some(stored.encode_to_vec())
     }
 
-    /// Takes over what another instance has recorded of a request. Records
-    /// may come in any order and more than once.
+    /// Merges the stored record of a request. Records may arrive in any order
+    /// and more than once.
     ///
     /// # Errors
     ///
-    /// If it cannot be read; it then changes nothing.
+    /// If the record cannot be decoded; the state is then unchanged.
     pub fn read(&mut self, now_ms: u64, digest: Digest, record: &[u8]) -> Result<(), Malformed> {
-        let kept = Kept::decode(record).map_err(|error| Malformed(error.to_string()))?;
-        if kept.lives.is_empty() || kept.lives.len() > MOST_LIVES {
-            return Err(Malformed(format!("{} lives, not 1 to {MOST_LIVES}", kept.lives.len())));
+        let stored = StoredCase::decode(record).map_err(|error| Malformed(error.to_string()))?;
+        if stored.incarnations.is_empty() || stored.incarnations.len() > MAX_INCARNATIONS {
+            return Err(Malformed(format!(
+                "{} incarnations, expected 1 to {MAX_INCARNATIONS}",
+                stored.incarnations.len()
+            )));
         }
-        if let Some(life) = kept.alone.iter().find(|life| !kept.lives.contains(life)) {
-            return Err(Malformed(format!("alone at {life:?}, which is none of its lives")));
+        if let Some(incarnation) =
+            stored.isolated.iter().find(|incarnation| !stored.incarnations.contains(incarnation))
+        {
+            return Err(Malformed(format!(
+                "isolated at {incarnation:?}, which is none of its incarnations"
+            )));
         }
-        // A clock that is ahead must not hold anything back for longer.
-        let last_ms = kept.last_ms.min(now_ms);
-        self.cases.entry(digest).or_default().merge(&kept, last_ms);
+        // A clock of another instance that is ahead must not prolong a hold.
+        let last_ms = stored.last_ms.min(now_ms);
+        self.cases.entry(digest).or_default().merge(&stored, last_ms);
         self.bound();
         Ok(())
     }
 
-    /// Forgets what nothing follows from any more; returns that.
+    /// Removes expired cases and returns their digests.
     pub fn expire(&mut self, now_ms: u64) -> Vec<Digest> {
-        let over: Vec<Digest> =
-            self.cases.iter().filter(|(_, c)| c.is_over(now_ms)).map(|(d, _)| *d).collect();
-        for digest in &over {
+        let expired: Vec<Digest> =
+            self.cases.iter().filter(|(_, c)| c.is_expired(now_ms)).map(|(d, _)| *d).collect();
+        for digest in &expired {
             self.cases.remove(digest);
         }
-        over
+        expired
     }
 
     fn bound(&mut self) {
-        while self.cases.len() > MOST {
+        while self.cases.len() > MAX_CASES {
             let least = self.cases.iter().min_by_key(|(_, case)| (case.ends, case.last_ms));
             let Some(least) = least.map(|(digest, _)| *digest) else {
                 return;
--- a/crates/hollywell/src/entry/samples.rs
+++ b/crates/hollywell/src/entry/samples.rs
@@ -61,7 +61,7 @@
     let world = &mut *shared.world.borrow_mut();
     // A job that was ended meanwhile is not remembered.
     let open = world.shelves[part].book.jobs.get(&slot.job).is_some_and(|job| !job.ended)
-        && !world.ending.holds(&slot.job);
+        && !world.ending.is_pending(&slot.job);
     if open {
         world.bundles.insert((slot.job.clone(), bundle), decoded.clone());
     }
--- a/crates/hollywell/src/entry/shared.rs
+++ b/crates/hollywell/src/entry/shared.rs
@@ -162,7 +162,7 @@
     pub fn wants(&self, part: usize, slot: &Slot) -> bool {
         let job = self.shelves[part].book.jobs.get(&slot.job);
         let open = job.is_some_and(|job| !job.ended && !job.done[slot.at]);
-        open && !self.ending.holds(&slot.job)
+        open && !self.ending.is_pending(&slot.job)
     }
 
     /// Whether what is known of a partition of jobs is out of date.
@@ -499,7 +499,7 @@
             let Some(job) = world.shelves[part].book.jobs.get(&id) else {
                 return;
             };
-            if job.ended || job.is_whole() || world.ending.holds(&id) {
+            if job.ended || job.is_whole() || world.ending.is_pending(&id) {
                 return;
             }
             let plan = world.plan.clone();
--- a/crates/hollywell/src/entry/unbegun.rs
+++ b/crates/hollywell/src/entry/unbegun.rs
@@ -66,7 +66,7 @@
     let world = shared.world.borrow();
     let shelf = &world.shelves[part];
     let Some(job) = shelf.book.jobs.get(id) else {
-        return (!world.ending.holds(id)).then_some(Why::Unread);
+        return (!world.ending.is_pending(id)).then_some(Why::Unread);
     };
     let is_here = world.texts.keys().any(|slot| slot.job == id);
     if job.ended || is_here || !job.listed.is_empty() || !job.partials.is_empty() {
--- a/crates/hollywell/tests/ending.rs
+++ b/crates/hollywell/tests/ending.rs
@@ -48,13 +48,13 @@
     let mut state = State::new(&all[0]);
     state.step(Time(0), &asked("j"));
     state.step(Time(5), &Event::Stored("j".into()));
-    assert!(state.holds("j"), "until it is read");
+    assert!(state.is_pending("j"), "until it is read");
     assert!(state.is_stored("j"));
     for at in (50..4_000).step_by(50) {
         assert_eq!(state.step(Time(at), &tick(&all, &["j"])), [], "at {at}");
     }
     state.step(Time(4_000), &Event::Settled("j".into()));
-    assert!(!state.holds("j"));
+    assert!(!state.is_pending("j"));
 }
 
 #[test]
@@ -89,9 +89,9 @@
     let effects = state.step(Time(50), &tick(&all, &[]));
     assert!(matches!(&effects[..], [Effect::Notify { .. }]), "{effects:?}");
     state.step(Time(20_000), &tick(&all, &[]));
-    assert!(state.holds("j"), "it may be read late");
+    assert!(state.is_pending("j"), "it may be read late");
     state.step(Time(31_000), &tick(&all, &[]));
-    assert!(!state.holds("j"));
+    assert!(!state.is_pending("j"));
 }
 
 /// Instances, a store that refuses for a while, and one job.
@@ -177,7 +177,7 @@
     while now < back_ms + STORE_MS {
         now += TICK_MS;
         world.turn(Time(now), now >= back_ms);
-        let holders = world.states.iter().filter(|state| state.holds("j")).count();
+        let holders = world.states.iter().filter(|state| state.is_pending("j")).count();
         let at = u.int_in_range(0..=world.states.len() - 1)?;
         // Replaced is at most one at a time, so that somebody still knows.
         let calm = changed.iter().all(|at| now > at + SPREAD_MS);
@@ -187,12 +187,12 @@
         }
         for (at, state) in world.states.iter().enumerate() {
             let late = now > changed[at] + SPREAD_MS;
-            assert!(world.stored || !late || state.holds("j"), "instance {at} at {now}");
+            assert!(world.stored || !late || state.is_pending("j"), "instance {at} at {now}");
         }
     }
     assert!(world.stored, "the end never reached the store");
     world.turn(Time(now), true);
-    assert!(world.states.iter().all(|state| !state.holds("j")), "nothing is held for good");
+    assert!(world.states.iter().all(|state| !state.is_pending("j")), "nothing is held for good");
     Ok(())
 }
 
