--- a/crates/hollywell/src/core/admission.rs
+++ b/crates/hollywell/src/core/admission.rs
@@ -1,42 +1,44 @@
-//! Whether a plain request that no target can take now is held, or rejected
-//! at once with a time to come back.
+//! Decides whether a plain request that no target can take now is held, or
+//! rejected at once with a time to retry after.
 //!
-//! The load that it answers: a pool whose targets all vanished, or are full
-//! with everybody's requests, while callers with deadlines of less than a
-//! second keep asking. Held until its deadline, such a caller learns too late
-//! to go elsewhere.
+//! This guards against a pool whose targets are all gone, or full with requests
+//! of all instances, while callers with deadlines of less than a second keep
+//! sending. If such a request were held until its deadline, the caller would
+//! learn too late to go elsewhere.
 //!
-//! What it leaves out: which target is asked ([`crate::core::choice`]), and
-//! how the spread of the time to come back is drawn.
+//! The target is chosen in [`crate::core::choice`]; the jitter of the retry
+//! time is added by the caller of this module.
 
-/// Time after which targets are read anew, in milliseconds: whoever was
-/// rejected since there are none should come back after that.
-const ANNOUNCED_MS: u64 = 300;
+/// Time within which the targets are read again, in milliseconds: a request
+/// that is rejected because there are none should be retried after that.
+const TARGET_READ_MS: u64 = 300;
 
 /// What is known when no target can take a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Situation {
-    /// The targets were read at least once.
+    /// Whether the targets were read at least once.
     pub known: bool,
-    /// Targets of the pool that take new work, if they have room.
+    /// Number of targets of the pool that accept new work, apart from a lack of
+    /// free slots.
     pub usable: usize,
-    /// Time that a whole answer usually takes, in milliseconds; `None` before
+    /// Typical time until an answer is complete, in milliseconds; `None` before
     /// the first one.
     pub usual_ms: Option<u64>,
-    /// Time left to the caller, in milliseconds.
+    /// Time until the caller's deadline, in milliseconds.
     pub left_ms: u64,
 }
 
-/// What becomes of the request.
+/// What to do with the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Decision {
-    /// It is held; what is known may change in a moment.
+    /// Hold it: the situation may change soon.
     Hold,
-    /// It cannot be answered in time; when to come back, in milliseconds.
+    /// Reject it, as it cannot be answered in time; with the time to retry
+    /// after, in milliseconds.
     Reject(u64),
 }
 
-/// Decides on a request that no target can take now.
+/// Decides what to do with a request that no target can take now.
 ///
 /// # Example
 ///
@@ -45,16 +47,16 @@
 ///
 /// let full = Situation { known: true, usable: 4, usual_ms: Some(40), left_ms: 500 };
 /// assert_eq!(decide(full), Decision::Hold);
-/// // Its place would come too late.
+/// // A slot would become free too late.
 /// assert_eq!(decide(Situation { left_ms: 30, ..full }), Decision::Reject(40));
-/// // However much time is left, nobody is there to answer.
+/// // However much time is left, there is no target to answer.
 /// assert_eq!(decide(Situation { usable: 0, ..full }), Decision::Reject(300));
 /// ```
 #[must_use]
 pub fn decide(situation: Situation) -> Decision {
     let usual_ms = situation.usual_ms.unwrap_or(0);
     if situation.known && situation.usable == 0 {
-        return Decision::Reject(ANNOUNCED_MS);
+        return Decision::Reject(TARGET_READ_MS);
     }
     if situation.left_ms <= usual_ms {
         return Decision::Reject(usual_ms);
--- a/crates/hollywell/src/core/fleet.rs
+++ b/crates/hollywell/src/core/fleet.rs
@@ -1,18 +1,19 @@
 //! The targets as they announce themselves, folded from the store.
 //!
-//! A target that leaves says so or vanishes; either way it gets no new work
-//! from then on. Entries that lapse because the store itself was away are no
-//! sign of a target's end, so for a short while after the store is back a
-//! vanished entry is still believed.
+//! A target that leaves announces it or its entry expires; in either case it
+//! gets no new work from then on. Entries that expire because the store itself
+//! was unavailable do not show that a target has ended, so for a short while
+//! after the store has recovered, a target whose entry has expired is still
+//! assumed to be running.
 //!
-//! A target may start again under its id. Its start tells its lives apart:
-//! nothing that was learned of an earlier life holds for a later one, and an
-//! entry of an earlier one says nothing any more. An entry that cannot be
-//! understood is another writer's. It names no target to use; what others
-//! say holds.
+//! A target may restart under the same id. The start time distinguishes its
+//! incarnations: nothing that was learned of an earlier incarnation applies to
+//! a later one, and entries of an earlier incarnation are ignored. An entry
+//! that cannot be decoded has another writer. It does not describe a usable
+//! target, but other entries remain valid.
 //!
-//! What it leaves out: load, pace and faults, which the instance sees for
-//! itself (see [`crate::core::choice`]).
+//! Load, pace and failures are observed by each instance itself
+//! ([`crate::core::choice`]).
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -23,17 +24,17 @@
 
 use crate::core::time::Time;
 
-/// How long after the store is back a lapsed entry may take to return, in
-/// milliseconds. The platform says about two seconds.
+/// How long after the recovery of the store an expired entry may take to
+/// reappear, in milliseconds. The platform specifies about two seconds.
 pub const LAPSE_GRACE_MS: u64 = 2_500;
 /// How long the last entry of a target that is gone is remembered, in
-/// milliseconds: longer than a log keeps a record that could be read again.
-const REMEMBER_MS: u64 = 600_000;
+/// milliseconds: longer than a log keeps records, which could be read again.
+const REMOVED_RETENTION_MS: u64 = 600_000;
 
-/// A target's own word about itself.
+/// What a target announces about itself.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Announcement {
-    /// The incarnation's id.
+    /// The target's id.
     pub id: String,
     /// The pool that it serves.
     pub pool: String,
@@ -41,32 +42,33 @@
     pub address: SocketAddr,
     /// Its failure domain.
     pub domain: String,
-    /// Requests that it serves at once.
+    /// Number of requests that it serves at the same time.
     pub slots: u32,
-    /// Whether it takes no new work.
+    /// Whether it accepts no new work.
     pub draining: bool,
-    /// Whether it is still slow after its start.
+    /// Whether it is still slow because it started recently.
     pub cold: bool,
     /// Versions of the models that it holds.
     pub versions: BTreeMap<String, u64>,
-    /// Unix millisecond of its start; `None` on platforms whose targets do
-    /// not tell, where each start has an id of its own.
+    /// Unix time of its start in milliseconds; `None` on platforms whose
+    /// targets do not report it and where each start has a new id.
     pub born: Option<u64>,
-    /// Entries that it has written since its start.
+    /// Number of entries that it has written since its start.
     pub beats: u64,
 }
 
 impl Announcement {
-    /// Names this life of the target: a process that has started again is
-    /// another one.
+    /// Name of this incarnation of the target; a restarted process is another
+    /// incarnation.
     #[must_use]
     pub fn incarnation(&self) -> String {
         self.born.map_or_else(|| self.id.clone(), |born| format!("{}/{born}", self.id))
     }
 
-    /// Whether this says less than an earlier entry of the same id: it is of
-    /// an earlier life, or of the same one and older. Only targets that tell
-    /// their start count reliably.
+    /// Whether this is older than an earlier entry of the same id, given by its
+    /// start and its number: it belongs to an earlier incarnation, or has a
+    /// smaller number in the same one. Numbers are reliable only for targets
+    /// that report their start.
     fn is_older_than(&self, (born, beats): (Option<u64>, u64)) -> bool {
         match (self.born, born) {
             (Some(own), Some(other)) => (own, self.beats) < (other, beats),
@@ -76,36 +78,40 @@
     }
 }
 
-/// What became of an announcement.
+/// The effect of an announcement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AnnounceOutcome {
-    /// It holds; the target is new, or the one that was known.
+    /// It was accepted; the target is new, or the known incarnation.
     Accepted,
-    /// It holds, and the target has started again since it was last heard
-    /// of, then at this address: whatever was believed of it is void.
+    /// It was accepted, and the target has restarted since its last entry,
+    /// which gave this address: everything known of the earlier incarnation is
+    /// void.
     Restarted(SocketAddr),
-    /// It is older than what is known, and was dropped.
+    /// It is older than the last entry, and was ignored.
     Outdated,
 }
 
-/// A target as this instance believes it to be.
+/// A target as known to this instance.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Target {
-    /// Its last announcement, with versions raised by what its answers said.
+    /// Its last announcement, with versions raised to those that its answers
+    /// named.
     #[serde(rename = "said")]
     pub announcement: Announcement,
-    /// When that was read.
+    /// When the announcement was read.
     pub seen_at: Time,
-    /// Its entry vanished while the store was away, or soon after.
-    pub lapsed: bool,
-    /// Its newest entry cannot be understood: it gets nothing new.
+    /// Whether its entry expired while the store was unavailable, or soon
+    /// after.
+    #[serde(rename = "lapsed")]
+    pub expired: bool,
+    /// Whether its newest entry cannot be decoded: it gets no new work.
     #[serde(rename = "withheld")]
     pub invalid_entry: bool,
 }
 
 impl Target {
-    /// Whether it may run what asks for a version of a model or a newer one,
-    /// as far as it tells.
+    /// Whether it may serve a request for this version of a model or a newer
+    /// one, as far as it reports its versions.
     #[must_use]
     pub fn may_run(&self, model: &str, min_version: u64) -> bool {
         self.announcement.versions.get(model).is_none_or(|version| *version >= min_version)
@@ -127,59 +133,60 @@
     /// By id.
     pub targets: BTreeMap<String, Target>,
     gone: BTreeMap<String, Gone>,
-    /// Why the newest entry of an id was not understood.
+    /// Why the newest entry of an id could not be decoded.
     skipped: BTreeMap<String, String>,
-    /// Pools that the configuration names; `None` before it is known.
+    /// Pools named by the configuration; `None` before it is known.
     pools: Option<BTreeSet<String>>,
-    /// A target of a known pool has told its start, so all of them do.
-    births: bool,
-    /// When the store last came back; entries that vanish within
-    /// [`LAPSE_GRACE_MS`] of it may have lapsed only.
+    /// Whether a target of a known pool has reported its start; then all of
+    /// them do.
+    #[serde(rename = "births")]
+    starts_reported: bool,
+    /// When the store last recovered; entries that disappear within
+    /// [`LAPSE_GRACE_MS`] after that may only have expired.
     #[serde(rename = "store_back_at")]
     pub store_recovered_at: Option<Time>,
-    /// The store cannot be reached now.
+    /// Whether the store is unavailable now.
     #[serde(rename = "store_away")]
     pub store_unavailable: bool,
-    /// Failure domains whose targets get nothing new.
+    /// Failure domains whose targets get no new work.
     #[serde(default)]
     evacuated: BTreeSet<String>,
 }
 
 impl Fleet {
-    /// Notes an announcement. Within a life versions never go back: a target
-    /// that runs a newer one than it announces has just loaded it.
-    pub fn announce(&mut self, now: Time, mut said: Announcement) -> AnnounceOutcome {
-        let id = said.id.clone();
+    /// Applies an announcement. Within an incarnation versions never decrease:
+    /// a target that runs a newer version than it announces has just loaded it.
+    pub fn announce(&mut self, now: Time, mut announcement: Announcement) -> AnnounceOutcome {
+        let id = announcement.id.clone();
         let gone = self.gone.get(&id).map(|gone| (gone.address, gone.born, gone.beats));
         let known = self.targets.get(&id);
         let known = known.map(|known| {
             (known.announcement.address, known.announcement.born, known.announcement.beats)
         });
         let before = known.or(gone);
-        if before.is_some_and(|(_, born, beats)| said.is_older_than((born, beats))) {
+        if before.is_some_and(|(_, born, beats)| announcement.is_older_than((born, beats))) {
             return AnnounceOutcome::Outdated;
         }
         self.skipped.remove(&id);
         self.gone.remove(&id);
-        let restarted = before.filter(|(_, born, _)| *born != said.born);
+        let restarted = before.filter(|(_, born, _)| *born != announcement.born);
         if restarted.is_none()
             && let Some(before) = self.targets.get(&id)
         {
             for (model, version) in &before.announcement.versions {
-                let known = said.versions.entry(model.clone()).or_insert(*version);
+                let known = announcement.versions.entry(model.clone()).or_insert(*version);
                 *known = (*known).max(*version);
             }
         }
-        let target =
-            Target { announcement: said, seen_at: now, lapsed: false, invalid_entry: false };
+        let target = Target { announcement, seen_at: now, expired: false, invalid_entry: false };
         self.targets.insert(id, target);
-        self.note_births();
+        self.update_reports_start();
         restarted
             .map_or(AnnounceOutcome::Accepted, |(address, ..)| AnnounceOutcome::Restarted(address))
     }
 
-    /// Notes that the newest entry of an id cannot be understood. Returns
-    /// whether that is news.
+    /// Records that the newest entry of an id cannot be decoded. Returns
+    /// whether that was not known.
     pub fn record_invalid(&mut self, id: &str, why: &str) -> bool {
         if let Some(target) = self.targets.get_mut(id) {
             target.invalid_entry = true;
@@ -187,25 +194,25 @@
         self.skipped.insert(id.to_owned(), why.to_owned()).is_none_or(|before| before != why)
     }
 
-    /// Notes the pools of the configuration in force. An entry of another
-    /// pool names no target of ours.
+    /// Sets the pools of the configuration in force. Entries of other pools do
+    /// not describe our targets.
     pub fn configure<'a>(&mut self, pools: impl Iterator<Item = &'a str>) {
         self.pools = Some(pools.map(str::to_owned).collect());
-        self.note_births();
+        self.update_reports_start();
     }
 
     fn is_known_pool(&self, pool: &str) -> bool {
         self.pools.as_ref().is_none_or(|pools| pools.contains(pool))
     }
 
-    fn note_births(&mut self) {
-        let tells = |target: &Target| {
+    fn update_reports_start(&mut self) {
+        let reports = |target: &Target| {
             target.announcement.born.is_some() && self.is_known_pool(&target.announcement.pool)
         };
-        self.births = self.births || self.targets.values().any(tells);
+        self.starts_reported = self.starts_reported || self.targets.values().any(reports);
     }
 
-    /// Notes that an entry vanished.
+    /// Records that an entry disappeared from the store.
     pub fn record_expiry(&mut self, now: Time, id: &str) {
         self.skipped.remove(id);
         let lapse_window = self.store_unavailable
@@ -213,20 +220,25 @@
         if !lapse_window {
             self.remove(now, id);
         } else if let Some(target) = self.targets.get_mut(id) {
-            target.lapsed = true;
+            target.expired = true;
         }
     }
 
     fn remove(&mut self, now: Time, id: &str) {
-        if let Some(Target { announcement: said, .. }) = self.targets.remove(id) {
-            let gone = Gone { address: said.address, born: said.born, beats: said.beats, at: now };
+        if let Some(Target { announcement, .. }) = self.targets.remove(id) {
+            let gone = Gone {
+                address: announcement.address,
+                born: announcement.born,
+                beats: announcement.beats,
+                at: now,
+            };
             self.gone.insert(id.to_owned(), gone);
         }
     }
 
-    /// Notes the start that a target named beside its versions, in a report.
-    /// Returns whether it has started again since it was last heard of: then
-    /// it holds nothing that it has not told itself since.
+    /// Records the start time that a target reported beside its versions.
+    /// Returns whether it has restarted since its last entry: then it holds
+    /// only the versions that it has reported since.
     pub fn record_start(&mut self, id: &str, born: Option<u64>) -> bool {
         let Some(target) = self.targets.get_mut(id) else {
             return false;
@@ -241,8 +253,8 @@
         is_new
     }
 
-    /// Notes the version that a target's own answer named, in the life that
-    /// began at `born`.
+    /// Records the version that a target's own answer named, in the incarnation
+    /// that started at `born`.
     pub fn record_version(&mut self, id: &str, born: Option<u64>, model: &str, version: u64) {
         if let Some(target) = self.targets.get_mut(id)
             && target.announcement.born == born
@@ -252,43 +264,44 @@
         }
     }
 
-    /// Notes whether the store can be reached.
-    pub fn record_store_state(&mut self, now: Time, away: bool) {
-        if self.store_unavailable && !away {
+    /// Records whether the store is unavailable.
+    pub fn record_store_state(&mut self, now: Time, unavailable: bool) {
+        if self.store_unavailable && !unavailable {
             self.store_recovered_at = Some(now);
         }
-        self.store_unavailable = away;
+        self.store_unavailable = unavailable;
     }
 
-    /// Drops lapsed entries once the store has been back for long enough.
+    /// Removes targets whose entries have expired once the store has been
+    /// available for long enough.
     pub fn expire(&mut self, now: Time) {
         let settled = !self.store_unavailable
             && self.store_recovered_at.is_none_or(|at| now.since(at) >= LAPSE_GRACE_MS);
         if settled {
-            let lapsed = self.targets.iter().filter(|(_, target)| target.lapsed);
-            let lapsed: Vec<String> = lapsed.map(|(id, _)| id.clone()).collect();
-            for id in lapsed {
+            let expired = self.targets.iter().filter(|(_, target)| target.expired);
+            let expired: Vec<String> = expired.map(|(id, _)| id.clone()).collect();
+            for id in expired {
                 self.remove(now, &id);
             }
         }
-        self.gone.retain(|_, gone| now.since(gone.at) < REMEMBER_MS);
+        self.gone.retain(|_, gone| now.since(gone.at) < REMOVED_RETENTION_MS);
     }
 
-    /// Targets of configured pools that take new work.
+    /// Targets of configured pools that accept new work.
     pub fn accepting(&self) -> impl Iterator<Item = &Target> {
         let is_ours = |target: &&Target| self.is_known_pool(&target.announcement.pool);
         self.targets.values().filter(|target| self.accepts(target)).filter(is_ours)
     }
 
-    /// Targets of a configured pool that take new work.
+    /// Targets of one pool that accept new work.
     pub fn usable<'a>(&'a self, pool: &'a str) -> impl Iterator<Item = &'a Target> {
         self.targets
             .values()
             .filter(move |target| target.announcement.pool == pool && self.accepts(target))
     }
 
-    /// Notes whether a failure domain's targets are to get nothing new.
-    /// Returns whether that changes anything.
+    /// Sets whether the targets of a failure domain get no new work. Returns
+    /// whether that is a change.
     pub fn evacuate(&mut self, domain: &str, is_on: bool) -> bool {
         match is_on {
             true => self.evacuated.insert(domain.to_owned()),
@@ -296,18 +309,18 @@
         }
     }
 
-    /// Failure domains whose targets get nothing new.
+    /// Failure domains whose targets get no new work.
     #[must_use]
     pub fn evacuated(&self) -> &BTreeSet<String> {
         &self.evacuated
     }
 
-    /// Whether a target takes new work. Where targets tell their start, one
-    /// that does not is not what it says.
+    /// Whether a target accepts new work. If targets report their start, an
+    /// entry without one does not come from a target.
     #[must_use]
     pub fn accepts(&self, target: &Target) -> bool {
-        let is_whole = target.announcement.born.is_some() || !self.births;
-        let is_open = !self.evacuated.contains(&target.announcement.domain);
-        is_whole && is_open && !target.announcement.draining && !target.invalid_entry
+        let is_complete = target.announcement.born.is_some() || !self.starts_reported;
+        let is_in_use = !self.evacuated.contains(&target.announcement.domain);
+        is_complete && is_in_use && !target.announcement.draining && !target.invalid_entry
     }
 }
--- a/crates/hollywell/src/core/malformed.rs
+++ b/crates/hollywell/src/core/malformed.rs
@@ -1,8 +1,8 @@
-//! A record that cannot be read, of whatever topic.
+//! The error for a record that cannot be decoded, of any topic.
 
 use std::fmt;
 
-/// What is wrong with a record.
+/// Says what is wrong with a record.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Malformed(pub(super) String);
 
--- a/crates/hollywell/src/core/mod.rs
+++ b/crates/hollywell/src/core/mod.rs
@@ -17,12 +17,12 @@
 //! | [`retry`] | whether a failed attempt may be tried again, and when |
 //! | [`pace`] | how fast weights are fetched |
 //! | [`rollout`] | which samples run next and which are delivered |
-//! | [`ending`] | what becomes of an end that the platform's store has not taken |
+//! | [`ending`] | how a job's end is kept until it is in the platform's store |
 //! | [`admission`] | whether a request that no target can take is held or rejected |
-//! | [`group`] | whether a reading of a group shows all its members |
+//! | [`group`] | whether a reading of the group of instances shows all members |
 //! | [`poison`] | which requests end the targets that run them |
 //! | [`turn`] | what one party of all does at a time |
-//! | [`capacity`] | what the store's room is left for, and how far a log is trimmed |
+//! | [`capacity`] | which appends the store's capacity is reserved for, and how far a log is trimmed |
 //!
 //! What it leaves out: bodies, sockets and threads, which are in
 //! [`crate::traffic`], [`crate::peer`] and [`crate::control`].
--- a/crates/hollywell/src/core/relay.rs
+++ b/crates/hollywell/src/core/relay.rs
@@ -1,38 +1,39 @@
-//! Which instances of a failure domain read the store's partitions from the
-//! beginning themselves, and from whom the others take them.
+//! Decides which instances of a failure domain read the store's partitions from
+//! the beginning themselves, and from which instance the others take the
+//! records.
 //!
-//! After a loss of all power every instance reads everything there is: the
-//! bytes that leave the store are what it holds times the instances. Bytes
-//! within a failure domain are nearly free. So a few of each domain read the
-//! store, and the others follow them in a tree. A relay adds no truth: its
-//! records keep their offsets, whoever takes them reads on at the store from
-//! their end, and uses nothing before that answers.
+//! After a total power loss every instance reads everything: the bytes that
+//! leave the store are what it holds times the number of instances. Traffic
+//! within a failure domain is nearly free. So a few instances of each domain
+//! read the store, and the others take the records from them along a tree. A
+//! relay is not authoritative: records keep their offsets, and an instance that
+//! took them continues reading at the store from their end, and uses none of
+//! them before the store answers.
 //!
-//! What it leaves out: the calls, and what happens where a relay is lost
-//! ([`crate::entry::relay`]).
+//! The calls, and the handling of a lost relay, are in [`crate::entry::relay`].
 
 use std::cmp::Reverse;
 
 use crate::core::roster;
 
-/// Instances of a failure domain that read the store themselves. If one of
-/// them is lost, a quarter of the domain waits until it is taken for silent
-/// before it reads the store. With every one of 295 instances at the store
-/// 2.4 MB each take 8.9 s over its 80 MB/s; with four of each of six domains
-/// 0.7 s (worked out, `tests/reader.rs` and `tests/relay.rs`).
+/// Number of instances per failure domain that read the store themselves. If
+/// one of them is lost, a quarter of the domain waits until it is taken for
+/// unresponsive before it reads the store. If each of 295 instances reads 2.4
+/// MB from the store, this takes 8.9 s at its 80 MB/s; with four in each of six
+/// domains it takes 0.7 s (calculated, `tests/reader.rs` and `tests/relay.rs`).
 pub const ROOTS: usize = 4;
-/// Instances that take records from the same one. With four roots, fifty
-/// instances are two steps deep, and a small instance's link sends 2 MB to
-/// three others in less than a second.
+/// Number of instances that take records from the same one. With four roots,
+/// fifty instances form a tree of depth two, and the link of a small instance
+/// sends 2 MB to three others in less than a second.
 const FANOUT: usize = 3;
-/// Instances of a failure domain up to which each reads the store: a tree
-/// would spare it little, and cost a step.
-const FEW: usize = 8;
-
-/// The member from whom an instance takes what a start reads; `None` if it
-/// is to read the store. Instances whose lists of members differ never wait
-/// for each other in a circle: each follows one that comes before it in an
-/// order that does not depend on the list.
+/// Number of instances of a failure domain up to which each reads the store: a
+/// tree would save the store little and cost an extra hop.
+const MAX_DIRECT_READERS: usize = 8;
+
+/// The member from which a starting instance takes records; `None` if it reads
+/// the store. Instances whose lists of members differ never wait for each other
+/// in a cycle: each follows one that precedes it in an order that does not
+/// depend on the list.
 ///
 /// # Example
 ///
@@ -48,15 +49,15 @@
 /// assert!(all.iter().all(|member| parent(&all, member).is_none()));
 /// ```
 #[must_use]
-pub fn parent<'a>(members: &'a [String], me: &str) -> Option<&'a str> {
-    let line = line(members, me);
-    if line.len() <= FEW {
+pub fn parent<'a>(members: &'a [String], own_id: &str) -> Option<&'a str> {
+    let ordered = ordered(members, own_id);
+    if ordered.len() <= MAX_DIRECT_READERS {
         return None;
     }
-    line.get(above(place(&line, me))?).copied()
+    ordered.get(parent_position(position(&ordered, own_id))?).copied()
 }
 
-/// Steps from an instance to one that reads the store itself.
+/// Number of hops from an instance to one that reads the store itself.
 ///
 /// # Example
 ///
@@ -68,58 +69,58 @@
 /// assert_eq!(deepest, Some(2));
 /// ```
 #[must_use]
-pub fn depth(members: &[String], me: &str) -> u32 {
-    let line = line(members, me);
-    if line.len() <= FEW {
+pub fn depth(members: &[String], own_id: &str) -> u32 {
+    let ordered = ordered(members, own_id);
+    if ordered.len() <= MAX_DIRECT_READERS {
         return 0;
     }
-    let mut at = place(&line, me);
+    let mut at = position(&ordered, own_id);
     let mut steps = 0;
-    while let Some(next) = above(at) {
+    while let Some(next) = parent_position(at) {
         at = next;
         steps += 1;
     }
     steps
 }
 
-/// Reads of the store that an instance makes a second where nothing happens,
-/// worked out from how long each waits: four partitions of jobs, targets'
-/// entries, the configuration, news, suspects.
-const READS: u64 = 12;
-/// Part of the store's rate that these may take; one in so many. Work adds
-/// about as many, and the rest is for what cannot be foreseen.
-const READS_PART: u64 = 2;
+/// Reads per second of the store by an idle instance, calculated from how long
+/// each read waits: four partitions of jobs, the entries of targets, the
+/// configuration, hints, suspects.
+const IDLE_READS: u64 = 12;
+/// Divisor: the share of the store's rate that these reads may take is one in
+/// this many. Work adds about as many reads, and the rest is a reserve.
+const READS_DIVISOR: u64 = 2;
 
-/// Bytes of a target's entry with its key, as targets write it, and what the
-/// store adds.
+/// Size of a target's entry with its key, as targets write it, including the
+/// store's overhead, in bytes.
 const ENTRY_BYTES: u64 = 300;
-/// Part of the store's bandwidth that targets' entries may take; one in so
-/// many. Jobs and their texts need the most of it.
-const BANDWIDTH_PART: u64 = 4;
+/// Divisor: the share of the store's bandwidth that entries of targets may take
+/// is one in this many. Jobs and their texts need most of it.
+const BANDWIDTH_DIVISOR: u64 = 4;
 
-/// What a store serves all instances together.
+/// What a store can serve to all instances together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Supply {
-    /// Reading calls a second.
+    /// Read calls per second.
     pub reads: u64,
-    /// Bytes of records a second.
+    /// Bytes of records per second.
     pub bytes: u64,
 }
 
-/// What there is for everybody to read.
+/// What all instances have to read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Demand {
-    /// Instances.
+    /// Number of instances.
     pub instances: usize,
-    /// Targets.
+    /// Number of targets.
     pub targets: usize,
-    /// Time between two entries of a target, in milliseconds.
+    /// Interval between the entries of a target, in milliseconds.
     pub beat_ms: u64,
 }
 
 /// Whether a store cannot serve all instances if each of them reads it: it
-/// has too few calls, or targets' entries alone take too much of its
-/// bandwidth.
+/// allows too few calls, or the entries of targets alone would take too much of
+/// its bandwidth.
 ///
 /// # Example
 ///
@@ -137,15 +138,15 @@
 #[must_use]
 pub fn is_overloaded(supply: Supply, demand: Demand) -> bool {
     let instances = demand.instances as u64;
-    let calls = instances.saturating_mul(READS);
+    let calls = instances.saturating_mul(IDLE_READS);
     let entries = (demand.targets as u64).saturating_mul(1_000 * ENTRY_BYTES);
     let bytes = instances.saturating_mul(entries / demand.beat_ms.max(1));
-    calls > supply.reads / READS_PART || bytes > supply.bytes / BANDWIDTH_PART
+    calls > supply.reads / READS_DIVISOR || bytes > supply.bytes / BANDWIDTH_DIVISOR
 }
 
-/// The members from whom an instance takes what it follows, the first choice
-/// first; none if it is to read the store. Those with the widest links serve
-/// the others.
+/// The members from which an instance takes the records that it follows, in
+/// order of preference; none if it reads the store. Members with the highest
+/// link bandwidth serve the others.
 ///
 /// # Example
 ///
@@ -156,81 +157,83 @@
 /// let all: Vec<String> = (0..50).map(member).collect();
 /// let readers = all.iter().filter(|me| sources(&all, me, true).is_empty()).count();
 /// assert_eq!(readers, 4);
-/// // A store that is not crowded is read by all.
+/// // A store that is not overloaded is read by all.
 /// assert!(all.iter().all(|me| sources(&all, me, false).is_empty()));
 /// ```
 #[must_use]
-pub fn sources<'a>(members: &'a [String], me: &str, is_overloaded: bool) -> Vec<&'a str> {
+pub fn sources<'a>(members: &'a [String], own_id: &str, is_overloaded: bool) -> Vec<&'a str> {
     if !is_overloaded {
         return vec![];
     }
-    let line = line(members, me);
-    let before = place(&line, me);
-    // One that does not show among the members is followed by nobody.
-    let is_root = before < ROOTS && line.contains(&me);
-    if line.len() <= FEW || is_root {
+    let ordered = ordered(members, own_id);
+    let before = position(&ordered, own_id);
+    // A member that is not listed has no followers.
+    let is_root = before < ROOTS && ordered.contains(&own_id);
+    if ordered.len() <= MAX_DIRECT_READERS || is_root {
         return vec![];
     }
-    let mut roots: Vec<&str> = line.into_iter().take(ROOTS).collect();
-    // Neighbours in the order begin with different ones.
+    let mut roots: Vec<&str> = ordered.into_iter().take(ROOTS).collect();
+    // Spreads the followers: consecutive members in the order prefer different
+    // roots.
     roots.rotate_left(before % ROOTS);
     roots
 }
 
-/// Others that take what they follow from the same instance as a member does,
-/// about.
+/// Approximate number of other members that follow the same instance as a
+/// member.
 #[must_use]
-pub fn followers(members: &[String], me: &str) -> usize {
-    in_domain(members, me).saturating_sub(ROOTS).div_ceil(ROOTS)
+pub fn followers(members: &[String], own_id: &str) -> usize {
+    domain_size(members, own_id).saturating_sub(ROOTS).div_ceil(ROOTS)
 }
 
-/// Whether others take what they follow from an instance.
+/// Whether other members follow an instance.
 #[must_use]
-pub fn is_source(members: &[String], me: &str, is_overloaded: bool) -> bool {
-    is_overloaded && has_relays(members, me) && sources(members, me, is_overloaded).is_empty()
+pub fn is_source(members: &[String], own_id: &str, is_overloaded: bool) -> bool {
+    is_overloaded
+        && has_relays(members, own_id)
+        && sources(members, own_id, is_overloaded).is_empty()
 }
 
 /// The members of an instance's failure domain, in an order that does not
 /// depend on the list.
-fn line<'a>(members: &'a [String], me: &str) -> Vec<&'a str> {
-    let domain = roster::domain(me);
-    let mut line: Vec<&str> = members.iter().map(String::as_str).collect();
-    line.retain(|member| domain.is_some() && roster::domain(member) == domain);
-    line.sort_by_cached_key(|member| rank(member));
-    line
+fn ordered<'a>(members: &'a [String], own_id: &str) -> Vec<&'a str> {
+    let domain = roster::domain(own_id);
+    let mut ordered: Vec<&str> = members.iter().map(String::as_str).collect();
+    ordered.retain(|member| domain.is_some() && roster::domain(member) == domain);
+    ordered.sort_by_cached_key(|member| rank(member));
+    ordered
 }
 
-/// How many of a line come before an instance.
-fn place(line: &[&str], me: &str) -> usize {
-    let own = rank(me);
-    line.iter().filter(|member| rank(member) < own).count()
+/// Number of members that precede an instance in the order.
+fn position(ordered: &[&str], own_id: &str) -> usize {
+    let own = rank(own_id);
+    ordered.iter().filter(|member| rank(member) < own).count()
 }
 
-/// The place from which the one at a place of the tree takes records; `None` if
-/// it reads the store.
-fn above(place: usize) -> Option<usize> {
-    Some(place.checked_sub(ROOTS)? / FANOUT)
+/// The position in the tree from which the member at a position takes records;
+/// `None` if it reads the store.
+fn parent_position(position: usize) -> Option<usize> {
+    Some(position.checked_sub(ROOTS)? / FANOUT)
 }
 
-/// An instance's rank in the order, the same in all its runs: the wider its
-/// link, the earlier. A start hands some MB to each instance, which takes a
-/// narrow link a second for three of them.
+/// An instance's rank in the order, the same in all its runs: the higher its
+/// link bandwidth, the earlier. A starting instance takes some MB, and sending
+/// them to three others takes a narrow link a second.
 fn rank(member: &str) -> (Reverse<u64>, u64, &str) {
     let instance = roster::instance(member);
     let hash = xxhash_rust::xxh3::xxh3_64(instance.as_bytes());
     (Reverse(roster::link_mbps(member)), hash, instance)
 }
 
-/// Whether others may take records from instances of a member's failure
-/// domain.
+/// Whether the failure domain of a member is large enough for relays.
 #[must_use]
-pub fn has_relays(members: &[String], me: &str) -> bool {
-    in_domain(members, me) > FEW
+pub fn has_relays(members: &[String], own_id: &str) -> bool {
+    domain_size(members, own_id) > MAX_DIRECT_READERS
 }
 
-/// Members of an instance's failure domain; none if it has none.
-fn in_domain(members: &[String], me: &str) -> usize {
-    let Some(domain) = roster::domain(me) else {
+/// Number of members of an instance's failure domain; 0 if it has none.
+fn domain_size(members: &[String], own_id: &str) -> usize {
+    let Some(domain) = roster::domain(own_id) else {
         return 0;
     };
     members.iter().filter(|member| roster::domain(member) == Some(domain)).count()
--- a/crates/hollywell/src/core/roster.rs
+++ b/crates/hollywell/src/core/roster.rs
@@ -1,14 +1,14 @@
-//! Who else lives, folded from readings of the store's group.
+//! The live members, folded from readings of the store's group of instances.
 //!
-//! The store judges who lives, but a single reading is no judgement: while
-//! work is dealt anew a member holds nothing for a moment, and after an
-//! outage of the store each member is missing until its next call. Whoever
-//! took such a reading at its word would run everybody's samples. So a
-//! member that is missing is believed for a moment longer, and for some
-//! seconds after the store came back.
+//! The store decides which members live, but a single reading is not reliable:
+//! while partitions are reassigned a member holds none for a moment, and after
+//! an outage of the store each member is missing until its next call. An
+//! instance that trusted such a reading would run the samples of all members. A
+//! missing member is therefore still assumed to be alive for a moment, and for
+//! a few seconds after the store has recovered.
 //!
-//! What it leaves out: how the group is read ([`crate::entry::member`]), and
-//! what members are for ([`crate::core::dispatch`]).
+//! How the group is read is in [`crate::entry::member`]; what members are used
+//! for, in [`crate::core::dispatch`].
 
 use std::{
     cmp::Reverse,
@@ -18,12 +18,12 @@
 
 use crate::core::{fleet::LAPSE_GRACE_MS, time::Time};
 
-/// How long a member must be missing from all readings before it is taken
-/// for gone, in milliseconds: longer than the moment in which work is dealt
-/// anew, short against the time to live that it has outlasted already.
-const MISSING_MS: u64 = 200;
+/// How long a member must be missing from all readings before it is removed, in
+/// milliseconds: longer than the reassignment of partitions takes, and short
+/// compared to the time to live, which the member has already exceeded.
+const REMOVAL_DELAY_MS: u64 = 200;
 
-/// The instance that a member's name is of: what stands before its run.
+/// The instance part of a member's name: what precedes the run.
 ///
 /// # Example
 ///
@@ -39,7 +39,7 @@
     member.rsplit_once('/').map_or(member, |(instance, _)| instance)
 }
 
-/// The address at which a member's peers reach it, which its name carries:
+/// The address at which peers reach a member, taken from its name,
 /// `NAME@ADDRESS+DOMAIN*LINK/RUN`, where domain and link may be absent.
 #[must_use]
 pub fn address(member: &str) -> Option<SocketAddr> {
@@ -47,14 +47,14 @@
     rest.split_once('+').map_or(rest, |(address, _)| address).parse().ok()
 }
 
-/// A member's failure domain, by its number in the settings' list.
+/// A member's failure domain, as its index in the list in the settings.
 #[must_use]
 pub fn domain(member: &str) -> Option<&str> {
     let (_, rest) = instance(member).rsplit_once('+')?;
     Some(rest.split_once('*').map_or(rest, |(domain, _)| domain))
 }
 
-/// What a member's link carries, in Mbit/s; 0 where its name does not tell.
+/// Bandwidth of a member's link in Mbit/s; 0 if its name does not state it.
 ///
 /// # Example
 ///
@@ -71,11 +71,11 @@
     link.unwrap_or_default()
 }
 
-/// The members of a failure domain that compete for something that one
-/// instance does at a time: at most so many, chosen alike by all, and the same
-/// ones after a restart. Those with the widest links come first: they are the
-/// larger machines, and whoever is at work for all targets of a domain needs
-/// more than its own callers do.
+/// The members of a failure domain that compete for a task which one instance
+/// does at a time: at most `max`, chosen alike by all instances and independent
+/// of restarts. Members with the highest link bandwidth come first: they are
+/// the larger machines, and the one that works for all targets of a domain
+/// needs more bandwidth than its own callers do.
 ///
 /// # Example
 ///
@@ -91,22 +91,23 @@
 pub fn candidates<'a>(
     members: &'a [String],
     of_domain: Option<&str>,
-    what: &str,
-    most: usize,
+    task: &str,
+    max: usize,
 ) -> Vec<&'a str> {
-    let is_here = |member: &&String| domain(member) == of_domain;
-    let mut here: Vec<&str> = members.iter().filter(is_here).map(String::as_str).collect();
+    let is_in_domain = |member: &&String| domain(member) == of_domain;
+    let mut in_domain: Vec<&str> =
+        members.iter().filter(is_in_domain).map(String::as_str).collect();
     let weight = |member: &&str| {
-        let seed = xxhash_rust::xxh3::xxh3_64(what.as_bytes());
+        let seed = xxhash_rust::xxh3::xxh3_64(task.as_bytes());
         let hash = xxhash_rust::xxh3::xxh3_64_with_seed(instance(member).as_bytes(), seed);
         (Reverse(link_mbps(member)), hash)
     };
-    here.sort_by_key(weight);
-    here.truncate(most);
-    here
+    in_domain.sort_by_key(weight);
+    in_domain.truncate(max);
+    in_domain
 }
 
-/// The live members as one instance believes them to be.
+/// The live members as known to one instance.
 ///
 /// # Example
 ///
@@ -115,11 +116,11 @@
 ///
 /// let name = |n: &str| format!("{n}@10.0.0.1:80/1");
 /// let mut roster = Roster::new(&name("a"));
-/// // Nobody is known before the first reading, not even the instance
+/// // No member is known before the first reading, not even the instance
 /// // itself: alone it would run everything.
 /// assert!(roster.members().is_empty());
 /// roster.read(Time(0), &[name("a"), name("b")], None);
-/// // Missing once is not gone.
+/// // A member that is missing from one reading is kept.
 /// roster.read(Time(10), &[name("a")], None);
 /// assert_eq!(roster.members(), [name("a"), name("b")]);
 /// roster.read(Time(400), &[name("a")], None);
@@ -127,70 +128,72 @@
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct Roster {
-    me: String,
+    own_id: String,
     members: Vec<String>,
-    /// Since when members have been missing.
+    /// Since when each member has been missing.
     missing: BTreeMap<String, Time>,
     leaving: bool,
-    /// The group may have members that do not show.
+    /// Whether the group may have members that hold no partition and are not
+    /// listed.
     full: bool,
 }
 
 impl Roster {
-    /// The roster of an instance that has read nothing yet. A member's name
-    /// is that of the instance and, after a `/`, that of its run; later runs
-    /// sort behind earlier ones.
+    /// The roster of an instance that has read nothing yet. A member's name is
+    /// that of the instance followed by `/` and its run; later runs sort after
+    /// earlier ones.
     #[must_use]
-    pub fn new(me: &str) -> Roster {
-        Roster { me: me.to_owned(), ..Roster::default() }
+    pub fn new(own_id: &str) -> Roster {
+        Roster { own_id: own_id.to_owned(), ..Roster::default() }
     }
 
-    /// Those that are believed to live, in order.
+    /// The members that are assumed to be alive, sorted.
     #[must_use]
     pub fn members(&self) -> &[String] {
         &self.members
     }
 
-    /// Whether a member is missing and not yet taken for gone: the next
-    /// reading should come soon.
+    /// Whether a member is missing and not yet removed: the next reading should
+    /// follow soon.
     #[must_use]
     pub fn is_unsettled(&self) -> bool {
         !self.missing.is_empty()
     }
 
-    /// Notes that this instance leaves: it no longer counts itself.
+    /// Records that this instance leaves: it no longer counts itself as a
+    /// member.
     pub fn leave(&mut self) {
         self.leaving = true;
     }
 
-    /// Notes whether the group may have members that do not show: then this
-    /// instance is one only while it shows.
+    /// Sets whether the group may have members that are not listed. If so, this
+    /// instance is a member only while it is listed.
     pub fn set_group_full(&mut self, full: bool) {
         self.full = full;
     }
 
-    /// Takes a reading over; returns whether the members changed. `back_at`
-    /// is when the store last came back from an outage.
-    pub fn read(&mut self, now: Time, read: &[String], back_at: Option<Time>) -> bool {
+    /// Applies a reading; returns whether the members changed. `recovered_at` is
+    /// when the store last recovered from an outage.
+    pub fn read(&mut self, now: Time, read: &[String], recovered_at: Option<Time>) -> bool {
         let mut members = read.to_vec();
-        let shown: BTreeSet<&str> = read.iter().map(String::as_str).collect();
-        let counts_itself = !self.leaving && !self.full;
-        if counts_itself {
-            members.push(self.me.clone());
+        let listed: BTreeSet<&str> = read.iter().map(String::as_str).collect();
+        let adds_itself = !self.leaving && !self.full;
+        if adds_itself {
+            members.push(self.own_id.clone());
         }
-        let recovering = back_at.is_some_and(|at| now.since(at) < LAPSE_GRACE_MS);
+        let recovering = recovered_at.is_some_and(|at| now.since(at) < LAPSE_GRACE_MS);
         let mut missing = BTreeMap::new();
-        for member in self.members.iter().filter(|member| !shown.contains(member.as_str())) {
+        for member in self.members.iter().filter(|member| !listed.contains(member.as_str())) {
             let since = self.missing.get(member).copied().unwrap_or(now);
-            let may_be_missing = *member != self.me || self.full && !self.leaving;
-            if may_be_missing && (recovering || now.since(since) < MISSING_MS) {
+            let may_be_missing = *member != self.own_id || self.full && !self.leaving;
+            if may_be_missing && (recovering || now.since(since) < REMOVAL_DELAY_MS) {
                 missing.insert(member.clone(), since);
                 members.push(member.clone());
             }
         }
         members.sort();
         members.dedup();
-        self.supersede(&mut members);
+        self.remove_replaced(&mut members);
         missing.retain(|member, _| members.binary_search(member).is_ok());
         self.missing = missing;
         let changed = members != self.members;
@@ -198,13 +201,13 @@
         changed
     }
 
-    /// Drops members that another run of the same instance has replaced:
-    /// their time to live has not run out, but their process has ended. This
-    /// instance knows of itself which run is the latest, whatever the time
-    /// of day that named the runs.
-    fn supersede(&self, members: &mut Vec<String>) {
-        let mine = instance(&self.me);
-        members.retain(|member| *member == self.me || instance(member) != mine);
+    /// Removes members that were replaced by another run of the same instance:
+    /// their time to live has not expired, but their process has ended. Of
+    /// itself this instance knows which run is the latest, whatever the
+    /// wall-clock time that named the runs.
+    fn remove_replaced(&self, members: &mut Vec<String>) {
+        let own_instance = instance(&self.own_id);
+        members.retain(|member| *member == self.own_id || instance(member) != own_instance);
         let mut at = 1;
         while at < members.len() {
             if instance(&members[at - 1]) == instance(&members[at]) {
