--- a/crates/hollywell/src/entry/caller.rs
+++ b/crates/hollywell/src/entry/caller.rs
@@ -17,7 +17,7 @@
         organisation::{Directory, Organisation, Stranger},
         plan::{Plan, Route},
     },
-    entry::{plans, shared::Shared},
+    entry::{configuration, shared::Shared},
     error::Kind,
 };
 
@@ -158,7 +158,7 @@
 /// whatever was acknowledged before has to be in force somewhat later.
 fn is_current(shared: &Shared) -> bool {
     let apply_ms = shared.settings.times.config_apply.as_millis();
-    plans::age_ms(shared).is_some_and(|age_ms| u128::from(age_ms) * 4 <= apply_ms * 3)
+    configuration::age_ms(shared).is_some_and(|age_ms| u128::from(age_ms) * 4 <= apply_ms * 3)
 }
 
 /// Whether it is so old that a key must not be taken for good any more.
@@ -166,6 +166,6 @@
     let Some(revoke) = shared.settings.times.revoke else {
         return false;
     };
-    let age_ms = plans::age_ms(shared).unwrap_or(u64::MAX);
+    let age_ms = configuration::age_ms(shared).unwrap_or(u64::MAX);
     plan.organisations.is_some() && u128::from(age_ms) > revoke.as_millis()
 }
--- a/crates/hollywell/src/entry/dialect.rs
+++ b/crates/hollywell/src/entry/codec.rs
@@ -160,7 +160,7 @@
 
 /// How the platform spells it.
 #[derive(Clone, Debug)]
-pub struct Dialect {
+pub struct Codec {
     /// Names of headers.
     pub headers: Headers,
     /// The topic of the operator's wishes.
--- a/crates/hollywell/src/entry/duties.rs
+++ b/crates/hollywell/src/entry/duties.rs
@@ -113,7 +113,7 @@
                 return;
             }
             Next::Decide(window, counts) => {
-                let report = (shared.dialect.usage)(window, &counts);
+                let report = (shared.codec.usage)(window, &counts);
                 log::info!("usage of window {window} is decided: {} organisations", counts.len());
                 write(shared, vec![usage::decision(window, report)], end).await
             }
@@ -171,8 +171,8 @@
         body: Bytes,
     ) -> Result<StatusCode, String> {
         let address = self.duties.address;
-        let names = &shared.dialect.headers;
-        let request = Request::post(shared.dialect.usage_path)
+        let names = &shared.codec.headers;
+        let request = Request::post(shared.codec.usage_path)
             .header(http::header::HOST, address.to_string())
             .header(http::header::CONTENT_TYPE, "application/json")
             .header(&names.holder, shared.settings.name.as_str())
--- a/crates/hollywell/src/entry/feed.rs
+++ b/crates/hollywell/src/entry/feed.rs
@@ -133,7 +133,7 @@
             self.said.remove(&record.key);
             return true;
         };
-        let Ok(said) = (shared.dialect.announcement)(&record.key, value) else {
+        let Ok(said) = (shared.codec.announcement)(&record.key, value) else {
             return true;
         };
         let said = Announcement { beats: 0, ..said };
@@ -279,7 +279,7 @@
         }
     }
     let mut log = Log { first: newest.end, end: newest.end, ..Log::default() };
-    if part.topic == shared.dialect.announcements {
+    if part.topic == shared.codec.announcements {
         log.newest = Some(HashMap::new());
         for record in &newest.records {
             log.is_news(shared, record);
@@ -298,7 +298,7 @@
         *log = Log { first: from, end: from, ..Log::default() };
     }
     for record in &read.records {
-        let is_entry = part.topic == shared.dialect.announcements;
+        let is_entry = part.topic == shared.codec.announcements;
         log.renew(record);
         if !is_entry || log.is_news(shared, record) {
             log.push(record);
--- a/crates/hollywell/src/entry/follow.rs
+++ b/crates/hollywell/src/entry/follow.rs
@@ -22,9 +22,10 @@
         time::Time,
     },
     entry::{
-        dialect::Wish,
+        codec::Wish,
+        configuration,
         feed::{self, Fed},
-        plans, relay,
+        relay,
         shared::{JOBS, Shared, World},
         store::{Fault, Newest, Part, Read, Records},
     },
@@ -111,7 +112,7 @@
     /// Takes what another instance hands on; of a partition that is not read
     /// yet, only where all of it is.
     async fn read_fed(&mut self, shared: &Rc<Shared>, part: &Part) -> Option<Fed> {
-        if self.next.is_none() && part.topic != shared.dialect.announcements {
+        if self.next.is_none() && part.topic != shared.codec.announcements {
             return None;
         }
         let fed = self.ask(shared, part).await?;
@@ -213,7 +214,7 @@
 ) {
     let is_relayed = relay::is_relayed(&shared, &part);
     // The configuration is vital: everybody reads it, beside what peers tell.
-    let is_fed = part.topic != shared.dialect.wishes;
+    let is_fed = part.topic != shared.codec.wishes;
     let mut position = Position::new(keyed);
     if is_relayed && let Some((records, age_ms)) = relay::ask(&shared, &part).await {
         relay::keep(&shared, &part, &records, age_ms);
@@ -284,7 +285,7 @@
 
 /// Follows the targets' announcements.
 pub async fn fleet(shared: Rc<Shared>) {
-    let part = Part::new(shared.dialect.announcements, 0);
+    let part = Part::new(shared.codec.announcements, 0);
     follow(
         shared,
         part,
@@ -323,7 +324,7 @@
         world.fleet.vanish(now, id);
         return;
     };
-    match (shared.dialect.announcement)(id, value) {
+    match (shared.codec.announcement)(id, value) {
         Ok(said) => announced(shared, world, now, said),
         Err(why) => {
             shared.meters.entries_skipped.inc();
@@ -345,7 +346,7 @@
 
 /// Follows the operator's wishes: the configuration and the newest weights.
 pub async fn wishes(shared: Rc<Shared>) {
-    let part = Part::new(shared.dialect.wishes, 0);
+    let part = Part::new(shared.codec.wishes, 0);
     follow(
         shared,
         part,
@@ -360,7 +361,7 @@
                 evacuations_left(shared, &records);
             }
             if let Some(asked_at) = from.asked_at {
-                plans::current(shared, asked_at);
+                configuration::current(shared, asked_at);
             }
             shared.open_waiting();
         },
@@ -370,21 +371,23 @@
 
 /// Ends evacuations that were taken back while nothing was read here.
 fn evacuations_left(shared: &Rc<Shared>, newest: &Records) {
-    let domain = |key: &str| match (shared.dialect.wish)(key, None) {
+    let domain = |key: &str| match (shared.codec.wish)(key, None) {
         Ok(Some(Wish::Evacuation { domain, .. })) => Some(domain),
         _ => None,
     };
     let on = newest.records.iter().filter_map(|record| domain(&record.key)).collect();
     // What was written since the reading began is read next.
     let unread: BTreeSet<String> = newest.beyond.iter().filter_map(|key| domain(key)).collect();
-    plans::evacuate_only(shared, &on, |domain| unread.contains(domain));
+    configuration::evacuate_only(shared, &on, |domain| unread.contains(domain));
 }
 
 fn wish(shared: &Rc<Shared>, record: &Record) {
-    match (shared.dialect.wish)(&record.key, record.value.as_deref()) {
-        Ok(Some(Wish::Plan(plan))) => plans::take(shared, plan, "the store"),
-        Ok(Some(Wish::Version { model, version })) => plans::named(shared, &model, version),
-        Ok(Some(Wish::Evacuation { domain, is_on })) => plans::evacuate(shared, &domain, is_on),
+    match (shared.codec.wish)(&record.key, record.value.as_deref()) {
+        Ok(Some(Wish::Plan(plan))) => configuration::take(shared, plan, "the store"),
+        Ok(Some(Wish::Version { model, version })) => configuration::named(shared, &model, version),
+        Ok(Some(Wish::Evacuation { domain, is_on })) => {
+            configuration::evacuate(shared, &domain, is_on)
+        }
         Ok(None) => {}
         Err(why) => {
             shared.meters.plans_skipped.inc();
--- a/crates/hollywell/src/entry/forward.rs
+++ b/crates/hollywell/src/entry/forward.rs
@@ -459,9 +459,9 @@
 
 async fn take(shared: &Rc<Shared>, trip: &Trip<'_>, answer: Answer, left: Duration) -> Sent {
     let &Trip { plain, target, .. } = trip;
-    let names = &shared.dialect.headers;
+    let names = &shared.codec.headers;
     let now = shared.now();
-    if let Some(load) = answer.header(&names.load).and_then(shared.dialect.load) {
+    if let Some(load) = answer.header(&names.load).and_then(shared.codec.load) {
         shared.world.borrow_mut().sights.load(now, &target.id, load);
     }
     let status = answer.head.status;
@@ -516,7 +516,7 @@
     target: &Announcement,
     left_ms: u64,
 ) -> Request<Full<Bytes>> {
-    let names = &shared.dialect.headers;
+    let names = &shared.codec.headers;
     let mut request = Request::new(Full::new(plain.body.clone()));
     *request.method_mut() = plain.method.clone();
     *request.uri_mut() = plain.target.parse().unwrap_or_default();
--- a/crates/hollywell/src/entry/ingress.rs
+++ b/crates/hollywell/src/entry/ingress.rs
@@ -24,7 +24,7 @@
     },
     entry::{
         caller::{self, Caller},
-        dialect::Ask,
+        codec::Ask,
         forward::{self, Plain, Verdict},
         jobs::{self, Reply},
         shared::Shared,
@@ -136,7 +136,7 @@
 
 async fn answer(shared: &Rc<Shared>, request: Request<Incoming>) -> Reply200 {
     let arrived = shared.now();
-    let ask = (shared.dialect.ask)(request.method(), request.uri());
+    let ask = (shared.codec.ask)(request.method(), request.uri());
     let label = match &ask {
         Ask::Ready => "ready",
         Ask::Results { .. } => "results",
@@ -162,7 +162,7 @@
         Ask::Ready => ready(shared),
         Ask::Routed => routed(shared, request, arrived).await,
         Ask::Results { job, after } => {
-            let names = &shared.dialect.headers;
+            let names = &shared.codec.headers;
             let hold = number(headers, &names.hold).unwrap_or(0).min(HOLD_MS);
             let hold = Duration::from_millis(hold);
             let read = async |caller: &_| jobs::results(shared, caller, &job, after, hold).await;
@@ -254,7 +254,7 @@
     let Some(plan) = known_plan(shared) else {
         return refuse(shared, Kind::StoreAway);
     };
-    let names = &shared.dialect.headers;
+    let names = &shared.codec.headers;
     if plan.organisations.is_some() {
         // The key goes no further, and who asks is not the caller's to say.
         head.headers.remove(header::AUTHORIZATION);
@@ -322,7 +322,7 @@
     path: &str,
     raw: &[u8],
 ) -> Reply200 {
-    let mut decoded = match (shared.dialect.submission)(raw) {
+    let mut decoded = match (shared.codec.submission)(raw) {
         Ok(decoded) => decoded,
         Err(why) => {
             log::info!("job {id} is malformed: {why}");
@@ -330,7 +330,7 @@
         }
     };
     if *caller != Caller::Anybody {
-        let own = [header::AUTHORIZATION.as_str(), shared.dialect.headers.organisation.as_str()];
+        let own = [header::AUTHORIZATION.as_str(), shared.codec.headers.organisation.as_str()];
         decoded.drop_headers(&own);
     }
     let done = jobs::submit(shared, caller, id, host, path, &decoded).await;
@@ -365,7 +365,7 @@
     let headers = response.headers_mut();
     let says_so = answer.status >= 429 || kind == Kind::UnknownCaller;
     if answer.outcome == crate::error::Outcome::NotRun && says_so {
-        headers.insert(shared.dialect.headers.not_run.clone(), HeaderValue::from_static("1"));
+        headers.insert(shared.codec.headers.not_run.clone(), HeaderValue::from_static("1"));
     }
     if kind == Kind::UnknownCaller {
         headers.insert(header::WWW_AUTHENTICATE, HeaderValue::from_static("Bearer"));
--- a/crates/hollywell/src/entry/jobs.rs
+++ b/crates/hollywell/src/entry/jobs.rs
@@ -22,14 +22,14 @@
     },
     entry::{
         caller::Caller,
-        dialect::{Delivered, Results},
+        codec::{Delivered, Results},
         ends,
         forward::{self, Plain, Verdict},
         news::{self, News},
         room, samples,
         shared::{JOBS, Shared, wall_ms},
         store::{Append, Fault, Part, Read},
-        texts, unbegun,
+        texts, unstarted,
     },
     error::Kind,
 };
@@ -147,7 +147,7 @@
         shared.orphans.refused(shared.now(), job);
     }
     if kept == Reply::Done {
-        tokio::task::spawn_local(unbegun::watch(shared.clone(), part, job.to_owned()));
+        tokio::task::spawn_local(unstarted::watch(shared.clone(), part, job.to_owned()));
         let shared = shared.clone();
         tokio::task::spawn_local(async move {
             news::tell(&shared, &News::Accepted { part }).await;
@@ -345,7 +345,7 @@
         Delivered { outcome, text }
     };
     let results = outcomes.into_iter().map(delivered).collect();
-    Reply::Found((shared.dialect.results)(&Results { total, next, results }))
+    Reply::Found((shared.codec.results)(&Results { total, next, results }))
 }
 
 /// A job's number of samples and as many of its results as fit in an answer.
@@ -472,7 +472,7 @@
         let mut pause = SCORE_PAUSE;
         match forward::run(&shared, &route, &plain, tries).await {
             Verdict::Answered(answer) if answer.status.is_success() => {
-                let signature = answer.signature(&shared.dialect.headers.signature);
+                let signature = answer.signature(&shared.codec.headers.signature);
                 if let Some(text) = shared.world.borrow_mut().texts.get_mut(&slot) {
                     text.score = signature;
                 }
--- a/crates/hollywell/src/entry/lines.rs
+++ b/crates/hollywell/src/entry/lines.rs
@@ -1,5 +1,5 @@
 //! Cuts a byte stream into events: blocks of lines that end with a blank
-//! line. What an event's lines say is the dialect's business.
+//! line. What an event's lines say is the codec's business.
 
 /// Bytes that do not make a whole event yet.
 ///
--- a/crates/hollywell/src/entry/mod.rs
+++ b/crates/hollywell/src/entry/mod.rs
@@ -1,6 +1,6 @@
 //! An entry instance on a platform whose store is a log with keyed topics.
 //!
-//! The platform's names and formats come in through a [`dialect::Dialect`]
+//! The platform's names and formats come in through a [`codec::Codec`]
 //! and a [`store::Client`], both plain structs of closures that an adapter
 //! fills in; nothing here knows how anything is spelled. Decisions are taken
 //! in [`crate::core`]: [`crate::core::dispatch`] (what runs where),
@@ -13,9 +13,9 @@
 //! and wake-ups are what such a machine pays for.
 
 pub mod caller;
-pub mod carry;
 pub mod clean;
-pub mod dialect;
+pub mod codec;
+pub mod configuration;
 pub mod duties;
 pub mod ends;
 pub mod exchange;
@@ -32,10 +32,10 @@
 pub mod orders;
 pub mod outbox;
 pub mod peers;
-pub mod plans;
 pub mod reader;
 pub mod relay;
 pub mod reload;
+pub mod resume;
 pub mod room;
 pub mod run;
 pub mod samples;
@@ -45,5 +45,5 @@
 pub mod store;
 pub mod suspects;
 pub mod texts;
-mod unbegun;
+mod unstarted;
 pub mod usage;
--- a/crates/hollywell/src/entry/orders.rs
+++ b/crates/hollywell/src/entry/orders.rs
@@ -17,7 +17,7 @@
         roster,
     },
     entry::{
-        dialect::VersionOrder,
+        codec::VersionOrder,
         lease::Lease,
         news::{self, News},
         shared::{Shared, World},
@@ -140,7 +140,7 @@
             fence,
             expected: report.orders,
         };
-        let (path, body) = (shared.dialect.order)(&asked);
+        let (path, body) = (shared.codec.order)(&asked);
         office.lease.used(&shared);
         let status = call(&shared, &order.target, http::Method::POST, path, body).await;
         let status = status.map(|(status, _)| status.as_u16());
@@ -173,7 +173,7 @@
     office.roll.borrow_mut().failed(&order.target);
 }
 
-fn note(shared: &Shared, order: &Order, report: &crate::entry::dialect::Report) {
+fn note(shared: &Shared, order: &Order, report: &crate::entry::codec::Report) {
     let world = &mut *shared.world.borrow_mut();
     if world.fleet.started(&order.target, report.born)
         && let Some(address) = world.fleet.targets.get(&order.target).map(|t| t.said.address)
@@ -186,13 +186,13 @@
     }
 }
 
-async fn report(shared: &Rc<Shared>, target: &str) -> Option<crate::entry::dialect::Report> {
-    let path = shared.dialect.report_path;
+async fn report(shared: &Rc<Shared>, target: &str) -> Option<crate::entry::codec::Report> {
+    let path = shared.codec.report_path;
     let (status, body) = call(shared, target, http::Method::GET, path, Bytes::new()).await?;
     if !status.is_success() {
         return None;
     }
-    match (shared.dialect.report)(&body) {
+    match (shared.codec.report)(&body) {
         Ok(report) => Some(report),
         Err(why) => {
             log::warn!("report of {target}: {why}");
@@ -217,7 +217,7 @@
         .uri(path)
         .header(http::header::HOST, address.to_string())
         .header(http::header::CONTENT_TYPE, "application/json")
-        .header(&shared.dialect.headers.target, target)
+        .header(&shared.codec.headers.target, target)
         .body(Full::new(body))
         .ok()?;
     let answer = match shared.pool.send(address, request, CALL).await {
--- a/crates/hollywell/src/entry/peers.rs
+++ b/crates/hollywell/src/entry/peers.rs
@@ -21,7 +21,9 @@
 
 use crate::{
     core::roster,
-    entry::{ends, exchange::Answer, feed, member, plans, relay, shared::Shared, suspects, usage},
+    entry::{
+        configuration, ends, exchange::Answer, feed, member, relay, shared::Shared, suspects, usage,
+    },
 };
 
 /// How long a peer's connection may be idle.
@@ -126,7 +128,9 @@
         Method::GET if path.starts_with(feed::PATH) => feed::answer(shared, &path).await,
         Method::GET if path.starts_with(relay::PATH) => relay::answer(shared, &path).await,
         Method::GET if path.starts_with(member::PATH) => member::answer(shared, &path).await,
-        Method::GET if path.starts_with(plans::PATH) => plans::answer(shared, &path),
+        Method::GET if path.starts_with(configuration::PATH) => {
+            configuration::answer(shared, &path)
+        }
         _ => nothing(StatusCode::NOT_FOUND),
     }
 }
--- a/crates/hollywell/src/entry/relay.rs
+++ b/crates/hollywell/src/entry/relay.rs
@@ -251,7 +251,7 @@
 /// is large at a start.
 #[must_use]
 pub fn is_relayed(shared: &Shared, part: &Part) -> bool {
-    part.topic == JOBS || part.topic == shared.dialect.announcements
+    part.topic == JOBS || part.topic == shared.codec.announcements
 }
 
 /// Whether a relayed partition was read from its beginning.
--- a/crates/hollywell/src/entry/run.rs
+++ b/crates/hollywell/src/entry/run.rs
@@ -18,7 +18,7 @@
         poison::{Digest, Verdict},
     },
     entry::{
-        dialect::Piece,
+        codec::Piece,
         exchange::{Answer, Error},
         lines::Cutter,
         samples,
@@ -203,8 +203,8 @@
             return if error.is_not_sent() { End::Unreached } else { End::Broken };
         }
     };
-    let headers = &shared.dialect.headers;
-    if let Some(load) = answer.header(&headers.load).and_then(shared.dialect.load) {
+    let headers = &shared.codec.headers;
+    if let Some(load) = answer.header(&headers.load).and_then(shared.codec.load) {
         let now = shared.now();
         shared.world.borrow_mut().sights.load(now, &target.id, load);
     }
@@ -230,7 +230,7 @@
 ) -> Option<Request<Full<Bytes>>> {
     let world = shared.world.borrow();
     let job = world.shelves[shared.part_of(&slot.job)].book.jobs.get(&slot.job)?;
-    let headers = &shared.dialect.headers;
+    let headers = &shared.codec.headers;
     let mut request = Request::post(sample.path.as_str())
         .header(http::header::HOST, job.head.host.as_str())
         .header(&headers.request_id, sample.id.as_str())
@@ -280,7 +280,7 @@
     /// that made the event before.
     fn take(&self, event: &[u8], version: &mut Option<u64>) -> Result<(), End> {
         let text = std::str::from_utf8(event).map_err(|error| self.broken(&error))?;
-        let piece = (self.shared.dialect.piece)(text).map_err(|why| self.broken(&why))?;
+        let piece = (self.shared.codec.piece)(text).map_err(|why| self.broken(&why))?;
         if let Some(newer) = piece.version {
             *version = Some(newer);
             self.saw(newer);
@@ -330,7 +330,7 @@
 
 /// Takes events in until the answer ends.
 async fn events(context: &Context<'_>, mut answer: Answer) -> Result<(), End> {
-    let headers = &context.shared.dialect.headers;
+    let headers = &context.shared.codec.headers;
     if answer.header(&headers.request_id) != Some(context.id.as_str()) {
         return Err(context.broken(&"another request's answer"));
     }
--- a/crates/hollywell/src/entry/serve.rs
+++ b/crates/hollywell/src/entry/serve.rs
@@ -24,13 +24,13 @@
     },
     entry::{
         self, clean,
-        dialect::Dialect,
-        duties, ends,
+        codec::Codec,
+        configuration, duties, ends,
         exchange::Pool,
         feed::Feed,
         follow, ingress, member,
         meters::Meters,
-        news, orders, outbox, peers, plans,
+        news, orders, outbox, peers,
         reader::Reader,
         relay::Relay,
         reload,
@@ -64,7 +64,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Adapter {
     /// How the platform spells things.
-    pub dialect: fn() -> Dialect,
+    pub codec: fn() -> Codec,
     /// The store's client, over the given connections.
     pub store: fn(Rc<Pool>, &Store) -> Client,
     /// Where the platform put the settings file.
@@ -121,7 +121,7 @@
     let store = (adapter.store)(pool.clone(), &settings.store);
     Ok(Rc::new(Shared {
         meters: Meters::new()?,
-        dialect: (adapter.dialect)(),
+        codec: (adapter.codec)(),
         reader: Reader::new(store.clone()),
         feed: Feed::default(),
         relay: Relay::default(),
@@ -166,7 +166,7 @@
     // In the order in which they are read from the store at a start: what is
     // small and needed for every request before the jobs.
     spawn(Box::pin(follow::wishes(shared.clone())));
-    spawn(Box::pin(plans::serve(shared.clone())));
+    spawn(Box::pin(configuration::serve(shared.clone())));
     spawn(Box::pin(follow::fleet(shared.clone())));
     spawn(Box::pin(news::serve(shared.clone())));
     spawn(Box::pin(suspects::serve(shared.clone())));
--- a/crates/hollywell/src/entry/shared.rs
+++ b/crates/hollywell/src/entry/shared.rs
@@ -32,8 +32,8 @@
         turn::Turns,
     },
     entry::{
-        carry, clean,
-        dialect::Dialect,
+        clean,
+        codec::Codec,
         ends,
         exchange::Pool,
         feed::Feed,
@@ -42,7 +42,7 @@
         outbox,
         reader::Reader,
         relay::Relay,
-        run,
+        resume, run,
         run::Text,
         settings::Settings,
         store::{Append, Appended, Client, Fault, Part, Records},
@@ -196,7 +196,7 @@
     /// Settings.
     pub settings: Settings,
     /// How the platform spells things.
-    pub dialect: Dialect,
+    pub codec: Codec,
     /// The store, for what is not a read.
     pub store: Client,
     /// Reads of the store.
@@ -518,7 +518,7 @@
             };
             let tokens = head.samples.iter().map(|sample| u64::from(sample.tokens)).sum();
             world.models.asked(&head.model, tokens, head.samples.len() as u64);
-            work.samples = carry::items(&mut world.shelves, part, &work.job, &head);
+            work.samples = resume::items(&mut world.shelves, part, &work.job, &head);
             work
         };
         log::debug!("job {} opened: {} samples", work.job, work.samples.len());
