--- a/crates/hollywell/src/entry/codec.rs
+++ b/crates/hollywell/src/entry/codec.rs
@@ -37,7 +37,7 @@
     /// Rank among the target's requests.
     pub priority: HeaderName,
     /// How long a read may be held.
-    pub hold: HeaderName,
+    pub wait: HeaderName,
     /// The organisation that asks, for targets.
     pub organisation: HeaderName,
     /// Who holds a duty.
@@ -48,7 +48,7 @@
 
 /// What a caller asks for.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Ask {
+pub enum Operation {
     /// Whether this instance takes callers.
     Ready,
     /// A job's results from a position on.
@@ -124,9 +124,9 @@
 
 /// A record of the operator's topic.
 #[derive(Clone, Debug)]
-pub enum Wish {
+pub enum Command {
     /// A whole configuration.
-    Plan(Plan),
+    Configuration(Plan),
     /// A trainer's newest weights.
     Version {
         /// The model.
@@ -145,11 +145,11 @@
 
 /// What a record of the operator's topic says to this product, if anything, or
 /// why it cannot be understood.
-pub type Understood = Result<Option<Wish>, String>;
+pub type DecodedCommand = Result<Option<Command>, String>;
 
 /// One event of a stream of text.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Piece {
+pub struct Chunk {
     /// Its number, counted from 1.
     pub id: u64,
     /// Its data.
@@ -164,24 +164,24 @@
     /// Names of headers.
     pub headers: Headers,
     /// The topic of the operator's wishes.
-    pub wishes: &'static str,
+    pub operator_topic: &'static str,
     /// The topic of the targets' announcements.
     pub announcements: &'static str,
     /// What a method and a path with its query ask for.
-    pub ask: fn(&Method, &http::Uri) -> Ask,
+    pub operation: fn(&Method, &http::Uri) -> Operation,
     /// Decodes a submission.
     pub submission: fn(&[u8]) -> Result<Submission, String>,
     /// Encodes a page of results.
     pub results: fn(&Results) -> Bytes,
     /// Decodes a record of the operator's topic, without a value where its
     /// key was dropped; `None` if it says nothing to this product.
-    pub wish: fn(&str, Option<&[u8]>) -> Understood,
+    pub command: fn(&str, Option<&[u8]>) -> DecodedCommand,
     /// Decodes an announcement.
     pub announcement: fn(&str, &[u8]) -> Result<Announcement, String>,
     /// Decodes a load header.
     pub load: fn(&str) -> Option<Load>,
     /// Decodes one event of a stream of text: its lines.
-    pub piece: fn(&str) -> Result<Piece, String>,
+    pub chunk: fn(&str) -> Result<Chunk, String>,
     /// Where usage is reported.
     pub usage_path: &'static str,
     /// Encodes a window's usage; the same counts give the same bytes.
--- a/crates/hollywell/src/entry/follow.rs
+++ b/crates/hollywell/src/entry/follow.rs
@@ -22,7 +22,7 @@
         time::Time,
     },
     entry::{
-        codec::Wish,
+        codec::Command,
         configuration,
         feed::{self, Fed},
         relay,
@@ -214,7 +214,7 @@
 ) {
     let is_relayed = relay::is_relayed(&shared, &part);
     // The configuration is vital: everybody reads it, beside what peers tell.
-    let is_fed = part.topic != shared.codec.wishes;
+    let is_fed = part.topic != shared.codec.operator_topic;
     let mut position = Position::new(keyed);
     if is_relayed && let Some((records, age_ms)) = relay::ask(&shared, &part).await {
         relay::keep(&shared, &part, &records, age_ms);
@@ -345,8 +345,8 @@
 }
 
 /// Follows the operator's wishes: the configuration and the newest weights.
-pub async fn wishes(shared: Rc<Shared>) {
-    let part = Part::new(shared.codec.wishes, 0);
+pub async fn commands(shared: Rc<Shared>) {
+    let part = Part::new(shared.codec.operator_topic, 0);
     follow(
         shared,
         part,
@@ -355,7 +355,7 @@
         true,
         |shared, records, from| {
             for record in &records.records {
-                wish(shared, record);
+                apply_command(shared, record);
             }
             if from.anew {
                 evacuations_left(shared, &records);
@@ -371,8 +371,8 @@
 
 /// Ends evacuations that were taken back while nothing was read here.
 fn evacuations_left(shared: &Rc<Shared>, newest: &Records) {
-    let domain = |key: &str| match (shared.codec.wish)(key, None) {
-        Ok(Some(Wish::Evacuation { domain, .. })) => Some(domain),
+    let domain = |key: &str| match (shared.codec.command)(key, None) {
+        Ok(Some(Command::Evacuation { domain, .. })) => Some(domain),
         _ => None,
     };
     let on = newest.records.iter().filter_map(|record| domain(&record.key)).collect();
@@ -381,11 +381,13 @@
     configuration::evacuate_only(shared, &on, |domain| unread.contains(domain));
 }
 
-fn wish(shared: &Rc<Shared>, record: &Record) {
-    match (shared.codec.wish)(&record.key, record.value.as_deref()) {
-        Ok(Some(Wish::Plan(plan))) => configuration::take(shared, plan, "the store"),
-        Ok(Some(Wish::Version { model, version })) => configuration::named(shared, &model, version),
-        Ok(Some(Wish::Evacuation { domain, is_on })) => {
+fn apply_command(shared: &Rc<Shared>, record: &Record) {
+    match (shared.codec.command)(&record.key, record.value.as_deref()) {
+        Ok(Some(Command::Configuration(plan))) => configuration::take(shared, plan, "the store"),
+        Ok(Some(Command::Version { model, version })) => {
+            configuration::named(shared, &model, version)
+        }
+        Ok(Some(Command::Evacuation { domain, is_on })) => {
             configuration::evacuate(shared, &domain, is_on)
         }
         Ok(None) => {}
--- a/crates/hollywell/src/entry/ingress.rs
+++ b/crates/hollywell/src/entry/ingress.rs
@@ -24,7 +24,7 @@
     },
     entry::{
         caller::{self, Caller},
-        codec::Ask,
+        codec::Operation,
         forward::{self, Plain, Verdict},
         jobs::{self, Reply},
         shared::Shared,
@@ -136,13 +136,13 @@
 
 async fn answer(shared: &Rc<Shared>, request: Request<Incoming>) -> Reply200 {
     let arrived = shared.now();
-    let ask = (shared.codec.ask)(request.method(), request.uri());
+    let ask = (shared.codec.operation)(request.method(), request.uri());
     let label = match &ask {
-        Ask::Ready => "ready",
-        Ask::Results { .. } => "results",
-        Ask::SampleBody { .. } => "sample_body",
-        Ask::EndJob { .. } => "end_job",
-        Ask::Routed => "routed",
+        Operation::Ready => "ready",
+        Operation::Results { .. } => "results",
+        Operation::SampleBody { .. } => "sample_body",
+        Operation::EndJob { .. } => "end_job",
+        Operation::Routed => "routed",
     };
     let response = answer_ask(shared, request, ask, arrived).await;
     let seconds = shared.now().since(arrived) as f64 / 1_000.0;
@@ -154,25 +154,25 @@
 async fn answer_ask(
     shared: &Rc<Shared>,
     request: Request<Incoming>,
-    ask: Ask,
+    ask: Operation,
     arrived: Time,
 ) -> Reply200 {
     let headers = request.headers();
     match ask {
-        Ask::Ready => ready(shared),
-        Ask::Routed => routed(shared, request, arrived).await,
-        Ask::Results { job, after } => {
+        Operation::Ready => ready(shared),
+        Operation::Routed => routed(shared, request, arrived).await,
+        Operation::Results { job, after } => {
             let names = &shared.codec.headers;
-            let hold = number(headers, &names.hold).unwrap_or(0).min(HOLD_MS);
+            let hold = number(headers, &names.wait).unwrap_or(0).min(HOLD_MS);
             let hold = Duration::from_millis(hold);
             let read = async |caller: &_| jobs::results(shared, caller, &job, after, hold).await;
             by_caller(shared, headers, read).await
         }
-        Ask::SampleBody { job, sample } => {
+        Operation::SampleBody { job, sample } => {
             let read = async |caller: &_| jobs::sample_body(shared, caller, &job, &sample).await;
             by_caller(shared, headers, read).await
         }
-        Ask::EndJob { job } => {
+        Operation::EndJob { job } => {
             by_caller(shared, headers, async |caller| jobs::end(shared, caller, &job).await).await
         }
     }
--- a/crates/hollywell/src/entry/run.rs
+++ b/crates/hollywell/src/entry/run.rs
@@ -18,7 +18,7 @@
         poison::{Digest, Verdict},
     },
     entry::{
-        codec::Piece,
+        codec::Chunk,
         exchange::{Answer, Error},
         lines::Cutter,
         samples,
@@ -53,7 +53,7 @@
 }
 
 impl Text {
-    fn take(&mut self, piece: &Piece, version: u64) {
+    fn take(&mut self, piece: &Chunk, version: u64) {
         if self.last > 0 {
             self.data.push('\n');
         }
@@ -280,7 +280,7 @@
     /// that made the event before.
     fn take(&self, event: &[u8], version: &mut Option<u64>) -> Result<(), End> {
         let text = std::str::from_utf8(event).map_err(|error| self.broken(&error))?;
-        let piece = (self.shared.codec.piece)(text).map_err(|why| self.broken(&why))?;
+        let piece = (self.shared.codec.chunk)(text).map_err(|why| self.broken(&why))?;
         if let Some(newer) = piece.version {
             *version = Some(newer);
             self.saw(newer);
--- a/crates/hollywell/src/entry/serve.rs
+++ b/crates/hollywell/src/entry/serve.rs
@@ -165,7 +165,7 @@
     let spawn = tokio::task::spawn_local::<std::pin::Pin<Box<dyn Future<Output = ()>>>>;
     // In the order in which they are read from the store at a start: what is
     // small and needed for every request before the jobs.
-    spawn(Box::pin(follow::wishes(shared.clone())));
+    spawn(Box::pin(follow::commands(shared.clone())));
     spawn(Box::pin(configuration::serve(shared.clone())));
     spawn(Box::pin(follow::fleet(shared.clone())));
     spawn(Box::pin(news::serve(shared.clone())));
