--- a/crates/hollywell/src/entry/configuration.rs
+++ b/crates/hollywell/src/entry/configuration.rs
@@ -27,20 +27,20 @@
 /// The path on which peers ask; the version that they have follows.
 pub const PATH: &str = "/configuration/";
 /// Time between looks at how old the configuration is.
-const LOOK: Duration = Duration::from_millis(250);
+const CHECK_INTERVAL: Duration = Duration::from_millis(250);
 /// Age from which on peers are asked, in milliseconds: a read of the store
 /// that waits in vain takes less.
-const BEHIND_MS: u64 = 1_500;
+const STALE_MS: u64 = 1_500;
 /// Peers that are asked at once: one may be behind for the same reason.
-const ASKED: usize = 3;
+const PEERS_PER_ROUND: usize = 3;
 /// Time that a peer's answer may take.
-const ANSWER: Duration = Duration::from_millis(400);
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(400);
 /// Largest answer of a peer: thousands of organisations.
-const ANSWER_BYTES: usize = 16 << 20;
+const MAX_RESPONSE_BYTES: usize = 16 << 20;
 
 /// What a peer tells.
 #[derive(Debug, Serialize, Deserialize)]
-struct Word {
+struct Message {
     /// How old it is, in milliseconds.
     age_ms: u64,
     /// The configuration's version.
@@ -56,7 +56,7 @@
 }
 
 /// Puts a configuration in force, if it is newer.
-pub(super) fn take(shared: &Shared, plan: Plan, from: &str) {
+pub(super) fn adopt(shared: &Shared, plan: Plan, from: &str) {
     let mut world = shared.world.borrow_mut();
     let before = world.plan.as_ref().map_or(0, |plan| plan.version);
     if plan.version > before {
@@ -67,7 +67,7 @@
 }
 
 /// Takes over which weights of a model are the newest.
-pub(super) fn named(shared: &Shared, model: &str, version: u64) {
+pub(super) fn adopt_version(shared: &Shared, model: &str, version: u64) {
     let mut world = shared.world.borrow_mut();
     let named = world.models.named.entry(model.to_owned()).or_insert(0);
     if *named < version {
@@ -77,7 +77,7 @@
 }
 
 /// Takes over whether a failure domain is evacuated.
-pub(super) fn evacuate(shared: &Shared, domain: &str, is_on: bool) {
+pub(super) fn set_evacuated(shared: &Shared, domain: &str, is_on: bool) {
     if !shared.world.borrow_mut().fleet.evacuate(domain, is_on) {
         return;
     }
@@ -90,15 +90,19 @@
 
 /// Takes over which failure domains are evacuated; all others are not, but
 /// for those of which `keep` says that nothing is known.
-pub(super) fn evacuate_only(shared: &Shared, on: &BTreeSet<String>, keep: impl Fn(&str) -> bool) {
+pub(super) fn replace_evacuated(
+    shared: &Shared,
+    on: &BTreeSet<String>,
+    keep: impl Fn(&str) -> bool,
+) {
     let before = shared.world.borrow().fleet.evacuated().clone();
     let over = before.difference(on).filter(|domain| !keep(domain));
-    over.for_each(|domain| evacuate(shared, domain, false));
-    on.iter().for_each(|domain| evacuate(shared, domain, true));
+    over.for_each(|domain| set_evacuated(shared, domain, false));
+    on.iter().for_each(|domain| set_evacuated(shared, domain, true));
 }
 
 /// Notes that the operator's topic, as it was at an instant, is known.
-pub(super) fn current(shared: &Shared, at: Time) {
+pub(super) fn mark_current(shared: &Shared, at: Time) {
     let mut world = shared.world.borrow_mut();
     world.plan_at = world.plan_at.max(Some(at));
     shared.configured.notify_waiters();
@@ -114,12 +118,13 @@
 /// Asks peers while the store does not tell.
 pub async fn serve(shared: Rc<Shared>) {
     loop {
-        tokio::time::sleep(LOOK).await;
-        if age_ms(&shared).is_some_and(|age| age < BEHIND_MS) {
+        tokio::time::sleep(CHECK_INTERVAL).await;
+        if age_ms(&shared).is_some_and(|age| age < STALE_MS) {
             continue;
         }
-        let peers = peers::some(&shared, ASKED);
-        let asked: Vec<_> = peers.into_iter().map(|peer| ask(shared.clone(), peer)).collect();
+        let peers = peers::some(&shared, PEERS_PER_ROUND);
+        let asked: Vec<_> =
+            peers.into_iter().map(|peer| update_from(shared.clone(), peer)).collect();
         let asked: Vec<_> = asked.into_iter().map(tokio::task::spawn_local).collect();
         for one in asked {
             if let Err(error) = one.await {
@@ -129,24 +134,27 @@
     }
 }
 
-async fn ask(shared: Rc<Shared>, peer: String) {
+async fn update_from(shared: Rc<Shared>, peer: String) {
     let asked_at = shared.now();
-    match word(&shared, &peer).await {
-        Ok(word) => {
-            if let Some(plan) = word.plan {
-                take(&shared, plan, &peer);
+    match request(&shared, &peer).await {
+        Ok(message) => {
+            if let Some(plan) = message.plan {
+                adopt(&shared, plan, &peer);
             }
-            word.named.iter().for_each(|(model, version)| named(&shared, model, *version));
-            let known_at = Time(asked_at.0.saturating_sub(word.age_ms));
-            if let Some(evacuated) = word.evacuated
+            message
+                .named
+                .iter()
+                .for_each(|(model, version)| adopt_version(&shared, model, *version));
+            let known_at = Time(asked_at.0.saturating_sub(message.age_ms));
+            if let Some(evacuated) = message.evacuated
                 && shared.world.borrow().plan_at < Some(known_at)
             {
-                evacuate_only(&shared, &evacuated, |_| false);
+                replace_evacuated(&shared, &evacuated, |_| false);
             }
             // What the peer knew is of use for as far as it was taken over.
             let version = shared.world.borrow().plan.as_ref().map_or(0, |plan| plan.version);
-            if version >= word.version {
-                current(&shared, known_at);
+            if version >= message.version {
+                mark_current(&shared, known_at);
             }
             shared.open_waiting();
         }
@@ -154,11 +162,14 @@
     }
 }
 
-async fn word(shared: &Shared, peer: &str) -> Result<Word, String> {
+async fn request(shared: &Shared, peer: &str) -> Result<Message, String> {
     let have = shared.world.borrow().plan.as_ref().map_or(0, |plan| plan.version);
-    let answer = peers::get(shared, peer, &format!("{PATH}{have}"), ANSWER).await?;
+    let answer = peers::get(shared, peer, &format!("{PATH}{have}"), REQUEST_TIMEOUT).await?;
     let status = answer.head.status;
-    let body = answer.whole(ANSWER_BYTES, ANSWER).await.map_err(|error| error.to_string())?;
+    let body = answer
+        .read_body(MAX_RESPONSE_BYTES, REQUEST_TIMEOUT)
+        .await
+        .map_err(|error| error.to_string())?;
     if status != StatusCode::OK {
         return Err(status.to_string());
     }
@@ -166,7 +177,7 @@
 }
 
 /// Tells a peer the configuration, if this instance knows one.
-pub(super) fn answer(shared: &Shared, path: &str) -> Response<Full<Bytes>> {
+pub(super) fn respond(shared: &Shared, path: &str) -> Response<Full<Bytes>> {
     let have: u64 = path.strip_prefix(PATH).and_then(|have| have.parse().ok()).unwrap_or(0);
     let Some(age_ms) = age_ms(shared) else {
         return peers::nothing(StatusCode::SERVICE_UNAVAILABLE);
@@ -175,8 +186,8 @@
     let version = world.plan.as_ref().map_or(0, |plan| plan.version);
     let plan = world.plan.as_deref().filter(|plan| plan.version > have).cloned();
     let evacuated = Some(world.fleet.evacuated().clone());
-    let word = Word { age_ms, version, plan, named: world.models.named.clone(), evacuated };
-    match serde_json::to_vec(&word) {
+    let message = Message { age_ms, version, plan, named: world.models.named.clone(), evacuated };
+    match serde_json::to_vec(&message) {
         Ok(bytes) => Response::new(Full::new(bytes.into())),
         Err(error) => {
             log::error!("the configuration cannot be told: {error}");
--- a/crates/hollywell/src/entry/duties.rs
+++ b/crates/hollywell/src/entry/duties.rs
@@ -182,7 +182,7 @@
         let answer =
             shared.pool.send(address, request, CALL).await.map_err(|error| error.to_string())?;
         let status = answer.head.status;
-        answer.whole(ANSWER_BYTES, CALL).await.map_err(|error| error.to_string())?;
+        answer.read_body(ANSWER_BYTES, CALL).await.map_err(|error| error.to_string())?;
         Ok(status)
     }
 }
--- a/crates/hollywell/src/entry/exchange.rs
+++ b/crates/hollywell/src/entry/exchange.rs
@@ -3,7 +3,7 @@
 //! Connections cost: a handshake at the target, a price, a round trip. So
 //! they are kept for the next request to the same address. A kept connection
 //! that the other side closes while a request is on its way is told apart
-//! from a target's fault ([`Error::Stale`]).
+//! from a target's fault ([`Error::StaleConnection`]).
 //!
 //! What it leaves out: retries, which depend on what may be repeated.
 
@@ -49,27 +49,27 @@
     NotSent(String),
     /// The same, because nobody listens at the address: the process that did
     /// has ended.
-    NobodyThere,
+    ConnectionRefused,
     /// A kept connection ended before any answer. It says nothing about the
     /// target; whether the request ran is not known.
-    Stale,
+    StaleConnection,
     /// Something was sent, and no whole answer came.
     Broken(String),
     /// The time was up before a whole answer came.
     TimedOut,
     /// It was no longer wanted once it could have been sent, and was not.
-    Unwanted,
+    Cancelled,
 }
 
 impl fmt::Display for Error {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Error::NotSent(cause) => write!(f, "no connection: {cause}"),
-            Error::NobodyThere => f.write_str("no connection: nobody listens"),
-            Error::Stale => f.write_str("a kept connection had ended"),
+            Error::ConnectionRefused => f.write_str("no connection: nobody listens"),
+            Error::StaleConnection => f.write_str("a kept connection had ended"),
             Error::Broken(cause) => write!(f, "exchange broke: {cause}"),
             Error::TimedOut => f.write_str("no whole answer in time"),
-            Error::Unwanted => f.write_str("no longer wanted"),
+            Error::Cancelled => f.write_str("no longer wanted"),
         }
     }
 }
@@ -80,7 +80,7 @@
     /// Whether nothing was sent, for certain.
     #[must_use]
     pub const fn is_not_sent(&self) -> bool {
-        matches!(self, Error::NotSent(_) | Error::NobodyThere | Error::Unwanted)
+        matches!(self, Error::NotSent(_) | Error::ConnectionRefused | Error::Cancelled)
     }
 
     /// Its kind's name in metrics.
@@ -88,11 +88,11 @@
     pub const fn as_str(&self) -> &'static str {
         match self {
             Error::NotSent(_) => "not_sent",
-            Error::NobodyThere => "nobody_there",
-            Error::Stale => "stale",
+            Error::ConnectionRefused => "nobody_there",
+            Error::StaleConnection => "stale",
             Error::Broken(_) => "broken",
             Error::TimedOut => "timed_out",
-            Error::Unwanted => "unwanted",
+            Error::Cancelled => "unwanted",
         }
     }
 }
@@ -121,7 +121,7 @@
 }
 
 /// An answer whose body is still to come. Dropping it closes the connection.
-pub struct Answer {
+pub struct IncomingResponse {
     /// Status and headers.
     pub head: http::response::Parts,
     body: Incoming,
@@ -130,9 +130,9 @@
     address: SocketAddr,
 }
 
-impl fmt::Debug for Answer {
+impl fmt::Debug for IncomingResponse {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.debug_struct("Answer").field("head", &self.head).finish_non_exhaustive()
+        f.debug_struct("IncomingResponse").field("head", &self.head).finish_non_exhaustive()
     }
 }
 
@@ -181,7 +181,7 @@
             .await
             .map_err(|_| Error::NotSent(String::from("connecting took too long")))?
             .map_err(|error| match error.kind() {
-                std::io::ErrorKind::ConnectionRefused => Error::NobodyThere,
+                std::io::ErrorKind::ConnectionRefused => Error::ConnectionRefused,
                 _ => not_sent(&error),
             })?;
         stream.set_nodelay(true).map_err(|error| not_sent(&error))?;
@@ -199,9 +199,9 @@
     /// Whether the process at an address, with which an exchange has just
     /// broken, has ended. If it has not, the connection that this takes is kept
     /// for the next request.
-    pub async fn has_ended(&self, address: SocketAddr) -> bool {
+    pub async fn has_exited(&self, address: SocketAddr) -> bool {
         match timeout(LOOK_TIMEOUT, self.connect(address)).await {
-            Ok(Err(Error::NobodyThere)) => {
+            Ok(Err(Error::ConnectionRefused)) => {
                 self.forget(address);
                 true
             }
@@ -224,7 +224,7 @@
         address: SocketAddr,
         request: Request<Full<Bytes>>,
         limit: Duration,
-    ) -> Result<Answer, Error> {
+    ) -> Result<IncomingResponse, Error> {
         self.send_if(address, request, limit, || true).await
     }
 
@@ -233,14 +233,14 @@
     ///
     /// # Errors
     ///
-    /// See [`Error`]; [`Error::Unwanted`] if it was not.
+    /// See [`Error`]; [`Error::Cancelled`] if it was not.
     pub async fn send_if(
         self: &Rc<Pool>,
         address: SocketAddr,
         request: Request<Full<Bytes>>,
         limit: Duration,
         wanted: impl Fn() -> bool,
-    ) -> Result<Answer, Error> {
+    ) -> Result<IncomingResponse, Error> {
         let exchange = self.exchange(address, request, wanted);
         timeout(limit, exchange).await.map_err(|_| Error::TimedOut)?
     }
@@ -250,30 +250,30 @@
         address: SocketAddr,
         request: Request<Full<Bytes>>,
         wanted: impl Fn() -> bool,
-    ) -> Result<Answer, Error> {
+    ) -> Result<IncomingResponse, Error> {
         let (mut sender, kept) = match self.take(address) {
             Some(sender) => (sender, true),
             None => (self.connect(address).await?, false),
         };
         if !wanted() {
             self.keep(address, sender, UNUSED);
-            return Err(Error::Unwanted);
+            return Err(Error::Cancelled);
         }
         let response = sender.send_request(request).await.map_err(|error| {
             if error.is_canceled() {
                 Error::NotSent(error.to_string())
             } else if kept && (error.is_incomplete_message() || error.is_closed()) {
-                Error::Stale
+                Error::StaleConnection
             } else {
                 Error::Broken(error.to_string())
             }
         })?;
         let (head, body) = response.into_parts();
-        Ok(Answer { head, body, sender: Some(sender), pool: self.clone(), address })
+        Ok(IncomingResponse { head, body, sender: Some(sender), pool: self.clone(), address })
     }
 }
 
-impl Answer {
+impl IncomingResponse {
     /// The value of a header, if it is there once and is text.
     #[must_use]
     pub fn header(&self, name: &http::HeaderName) -> Option<&str> {
@@ -308,8 +308,8 @@
     ///
     /// [`Error::Broken`] if the connection ends before the body does or the
     /// body is longer than `limit` bytes; [`Error::TimedOut`].
-    pub async fn whole(self, limit: usize, within: Duration) -> Result<Bytes, Error> {
-        let all = self.whole_unless_silent(limit, within);
+    pub async fn read_body(self, limit: usize, within: Duration) -> Result<Bytes, Error> {
+        let all = self.read_body_with_idle_timeout(limit, within);
         timeout(within, all).await.map_err(|_| Error::TimedOut)?
     }
 
@@ -318,8 +318,8 @@
     ///
     /// # Errors
     ///
-    /// As [`Answer::whole`].
-    pub async fn whole_unless_silent(
+    /// As [`IncomingResponse::read_body`].
+    pub async fn read_body_with_idle_timeout(
         mut self,
         limit: usize,
         silence: Duration,
--- a/crates/hollywell/src/entry/feed.rs
+++ b/crates/hollywell/src/entry/feed.rs
@@ -360,7 +360,7 @@
     let path = format!("{PATH}{}/{}/{from}", part.topic, part.number);
     let answer = peers::get(shared, source, &path, SILENCE).await?;
     let status = answer.head.status;
-    let body = answer.whole_unless_silent(ANSWER_BYTES, SILENCE).await;
+    let body = answer.read_body_with_idle_timeout(ANSWER_BYTES, SILENCE).await;
     let body = body.map_err(|error| error.to_string())?;
     match status {
         StatusCode::OK => {}
--- a/crates/hollywell/src/entry/follow.rs
+++ b/crates/hollywell/src/entry/follow.rs
@@ -361,7 +361,7 @@
                 evacuations_left(shared, &records);
             }
             if let Some(asked_at) = from.asked_at {
-                configuration::current(shared, asked_at);
+                configuration::mark_current(shared, asked_at);
             }
             shared.open_waiting();
         },
@@ -378,17 +378,17 @@
     let on = newest.records.iter().filter_map(|record| domain(&record.key)).collect();
     // What was written since the reading began is read next.
     let unread: BTreeSet<String> = newest.beyond.iter().filter_map(|key| domain(key)).collect();
-    configuration::evacuate_only(shared, &on, |domain| unread.contains(domain));
+    configuration::replace_evacuated(shared, &on, |domain| unread.contains(domain));
 }
 
 fn apply_command(shared: &Rc<Shared>, record: &Record) {
     match (shared.codec.command)(&record.key, record.value.as_deref()) {
-        Ok(Some(Command::Configuration(plan))) => configuration::take(shared, plan, "the store"),
+        Ok(Some(Command::Configuration(plan))) => configuration::adopt(shared, plan, "the store"),
         Ok(Some(Command::Version { model, version })) => {
-            configuration::named(shared, &model, version)
+            configuration::adopt_version(shared, &model, version)
         }
         Ok(Some(Command::Evacuation { domain, is_on })) => {
-            configuration::evacuate(shared, &domain, is_on)
+            configuration::set_evacuated(shared, &domain, is_on)
         }
         Ok(None) => {}
         Err(why) => {
--- a/crates/hollywell/src/entry/forward.rs
+++ b/crates/hollywell/src/entry/forward.rs
@@ -26,7 +26,7 @@
         time::Time,
     },
     entry::{
-        exchange::{Answer, Error},
+        exchange::{Error, IncomingResponse},
         shared::Shared,
         suspects::{self, Trial},
         usage,
@@ -397,9 +397,9 @@
     let mut answer = shared.pool.send_if(target.address, first, limit, wanted).await;
     // A kept connection that had ended says nothing about a target that
     // lives; what may be repeated goes out again at once, on another one.
-    let may_have_run = matches!(answer, Err(Error::Stale));
+    let may_have_run = matches!(answer, Err(Error::StaleConnection));
     if may_have_run && route.repeat == Repeat::Safe {
-        note_unanswered(shared, plain, target, &Error::Stale);
+        note_unanswered(shared, plain, target, &Error::StaleConnection);
         if look(shared, trip).await {
             return Sent::Ended;
         }
@@ -413,7 +413,7 @@
             let left = Duration::from_millis(limit_ms.saturating_sub(spent).max(1));
             take(shared, trip, answer, left).await
         }
-        Err(Error::Unwanted) => {
+        Err(Error::Cancelled) => {
             if may_have_run {
                 Sent::Maybe
             } else {
@@ -422,7 +422,7 @@
         }
         Err(error) => {
             note_unanswered(shared, plain, target, &error);
-            if error != Error::Stale {
+            if error != Error::StaleConnection {
                 let now = shared.now();
                 shared.world.borrow_mut().sights.broke(now, &target.id);
             }
@@ -457,7 +457,12 @@
     }
 }
 
-async fn take(shared: &Rc<Shared>, trip: &Trip<'_>, answer: Answer, left: Duration) -> Sent {
+async fn take(
+    shared: &Rc<Shared>,
+    trip: &Trip<'_>,
+    answer: IncomingResponse,
+    left: Duration,
+) -> Sent {
     let &Trip { plain, target, .. } = trip;
     let names = &shared.codec.headers;
     let now = shared.now();
@@ -481,7 +486,7 @@
         return Sent::Maybe;
     }
     let mut headers = answer.head.headers.clone();
-    match answer.whole(ANSWER_BYTES, left).await {
+    match answer.read_body(ANSWER_BYTES, left).await {
         Ok(body) => {
             for name in HOP_BY_HOP.iter().chain([&header::CONTENT_LENGTH]) {
                 headers.remove(name);
@@ -499,7 +504,7 @@
 
 /// What became of a send that broke. A slow target is no ended one.
 async fn broken(shared: &Rc<Shared>, trip: &Trip<'_>, error: &Error) -> Sent {
-    let is_broken = matches!(error, Error::Stale | Error::Broken(_));
+    let is_broken = matches!(error, Error::StaleConnection | Error::Broken(_));
     if is_broken && look(shared, trip).await { Sent::Ended } else { Sent::Maybe }
 }
 
--- a/crates/hollywell/src/entry/member.rs
+++ b/crates/hollywell/src/entry/member.rs
@@ -220,7 +220,7 @@
     let known = mark(shared.world.borrow().roster.members());
     let answer = peers::get(shared, source, &format!("{PATH}{known}"), SILENCE).await?;
     let status = answer.head.status;
-    let body = answer.whole(ANSWER_BYTES, SILENCE).await.map_err(|error| error.to_string())?;
+    let body = answer.read_body(ANSWER_BYTES, SILENCE).await.map_err(|error| error.to_string())?;
     if status != StatusCode::OK {
         return Err(status.to_string());
     }
--- a/crates/hollywell/src/entry/orders.rs
+++ b/crates/hollywell/src/entry/orders.rs
@@ -228,6 +228,6 @@
         }
     };
     let status = answer.head.status;
-    let body = answer.whole(REPORT_BYTES, CALL).await.ok()?;
+    let body = answer.read_body(REPORT_BYTES, CALL).await.ok()?;
     Some((status, body))
 }
--- a/crates/hollywell/src/entry/peers.rs
+++ b/crates/hollywell/src/entry/peers.rs
@@ -22,7 +22,8 @@
 use crate::{
     core::roster,
     entry::{
-        configuration, ends, exchange::Answer, feed, member, relay, shared::Shared, suspects, usage,
+        configuration, ends, exchange::IncomingResponse, feed, member, relay, shared::Shared,
+        suspects, usage,
     },
 };
 
@@ -50,7 +51,7 @@
     let answer = send(shared, member, Request::post(path), body, TELL).await?;
     let status = answer.head.status;
     // Read to its end, so that the connection can be kept.
-    let read = answer.whole(WORD_BYTES, TELL).await;
+    let read = answer.read_body(WORD_BYTES, TELL).await;
     read.map_err(|error| error.to_string())?;
     if status == StatusCode::OK { Ok(()) } else { Err(status.to_string()) }
 }
@@ -66,7 +67,7 @@
     member: &str,
     path: &str,
     limit: Duration,
-) -> Result<Answer, String> {
+) -> Result<IncomingResponse, String> {
     send(shared, member, Request::get(path), Bytes::new(), limit).await
 }
 
@@ -76,7 +77,7 @@
     request: http::request::Builder,
     body: Bytes,
     limit: Duration,
-) -> Result<Answer, String> {
+) -> Result<IncomingResponse, String> {
     let address = roster::address(member).ok_or("no address in its name")?;
     let request = request.header(http::header::HOST, address.to_string()).body(Full::new(body));
     let request = request.map_err(|error| error.to_string())?;
@@ -129,7 +130,7 @@
         Method::GET if path.starts_with(relay::PATH) => relay::answer(shared, &path).await,
         Method::GET if path.starts_with(member::PATH) => member::answer(shared, &path).await,
         Method::GET if path.starts_with(configuration::PATH) => {
-            configuration::answer(shared, &path)
+            configuration::respond(shared, &path)
         }
         _ => nothing(StatusCode::NOT_FOUND),
     }
--- a/crates/hollywell/src/entry/relay.rs
+++ b/crates/hollywell/src/entry/relay.rs
@@ -209,7 +209,7 @@
     let path = format!("{PATH}{}/{}", part.topic, part.number);
     let answer = peers::get(shared, parent, &path, SILENCE).await?;
     let (status, age) = (answer.head.status, answer.header(&header::AGE).map(str::to_owned));
-    let body = answer.whole_unless_silent(BYTES, SILENCE).await;
+    let body = answer.read_body_with_idle_timeout(BYTES, SILENCE).await;
     let body = body.map_err(|error| error.to_string())?;
     match status {
         StatusCode::OK => {
--- a/crates/hollywell/src/entry/run.rs
+++ b/crates/hollywell/src/entry/run.rs
@@ -19,7 +19,7 @@
     },
     entry::{
         codec::Chunk,
-        exchange::{Answer, Error},
+        exchange::{Error, IncomingResponse},
         lines::Cutter,
         samples,
         shared::Shared,
@@ -196,8 +196,8 @@
     let sent = shared.pool.send_if(target.address, request, RUN_LIMIT, wanted).await;
     let answer = match sent {
         Ok(answer) => answer,
-        Err(Error::Unwanted) => return End::Unready,
-        Err(Error::Stale) => return End::Stale,
+        Err(Error::Cancelled) => return End::Unready,
+        Err(Error::StaleConnection) => return End::Stale,
         Err(error) => {
             log::info!("sample {}/{} at {}: {error}", slot.job, slot.at, target.id);
             return if error.is_not_sent() { End::Unreached } else { End::Broken };
@@ -311,7 +311,7 @@
     slot: &Slot,
     target: &Announcement,
     digest: Digest,
-    answer: Answer,
+    answer: IncomingResponse,
 ) -> End {
     let context = {
         let world = shared.world.borrow();
@@ -329,7 +329,7 @@
 }
 
 /// Takes events in until the answer ends.
-async fn events(context: &Context<'_>, mut answer: Answer) -> Result<(), End> {
+async fn events(context: &Context<'_>, mut answer: IncomingResponse) -> Result<(), End> {
     let headers = &context.shared.codec.headers;
     if answer.header(&headers.request_id) != Some(context.id.as_str()) {
         return Err(context.broken(&"another request's answer"));
--- a/crates/hollywell/src/entry/suspects.rs
+++ b/crates/hollywell/src/entry/suspects.rs
@@ -243,7 +243,7 @@
     digest: Digest,
     is_alone: bool,
 ) -> bool {
-    if !shared.pool.has_ended(target.address).await {
+    if !shared.pool.has_exited(target.address).await {
         return false;
     }
     let life = target.life();
