--- a/crates/hollywell/src/entry/caller.rs
+++ b/crates/hollywell/src/entry/caller.rs
@@ -24,17 +24,17 @@
 /// Longest time that a caller waits for news of the configuration before it
 /// is told that it cannot be known. Reads of the store that wait in vain take
 /// less than twice that; callers give up after a second or so.
-const WAIT: Duration = Duration::from_millis(600);
+const CONFIGURATION_WAIT: Duration = Duration::from_millis(600);
 
 /// Who asks about jobs.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Caller {
     /// Organisations are not told apart.
-    Anybody,
+    Unrestricted,
     /// A caller without a key, where some jobs are everybody's.
-    Nobody,
+    Anonymous,
     /// A caller of that organisation.
-    Of(String),
+    Organisation(String),
 }
 
 impl Caller {
@@ -43,9 +43,9 @@
     #[must_use]
     pub fn may_see(&self, organisation: &str) -> bool {
         match self {
-            Caller::Anybody => true,
-            Caller::Nobody => organisation.is_empty(),
-            Caller::Of(name) => organisation.is_empty() || organisation == name,
+            Caller::Unrestricted => true,
+            Caller::Anonymous => organisation.is_empty(),
+            Caller::Organisation(name) => organisation.is_empty() || organisation == name,
         }
     }
 
@@ -53,8 +53,8 @@
     #[must_use]
     pub fn organisation(&self) -> &str {
         match self {
-            Caller::Anybody | Caller::Nobody => "",
-            Caller::Of(name) => name,
+            Caller::Unrestricted | Caller::Anonymous => "",
+            Caller::Organisation(name) => name,
         }
     }
 }
@@ -67,14 +67,14 @@
 ) -> Result<&'a Organisation, Kind> {
     let values = headers.get_all(header::AUTHORIZATION);
     directory.caller(values.iter().map(http::HeaderValue::as_bytes)).map_err(|why: Stranger| {
-        shared.meters.strangers.with_label_values(&[why.as_str()]).inc();
+        shared.meters.unauthenticated.with_label_values(&[why.as_str()]).inc();
         log::info!("a caller is not known: {}", why.as_str());
         Kind::UnknownCaller
     })
 }
 
 /// The route of a request, and who may use it.
-fn on_route(
+fn for_route(
     shared: &Shared,
     plan: &Plan,
     host: &str,
@@ -86,26 +86,23 @@
         return Err(Kind::NoRoute);
     };
     let caller = match &plan.organisations {
-        None => Caller::Anybody,
-        Some(_) if route.public => Caller::Nobody,
-        Some(directory) => Caller::Of(organisation(shared, directory, headers)?.name.clone()),
+        None => Caller::Unrestricted,
+        Some(_) if route.public => Caller::Anonymous,
+        Some(directory) => {
+            Caller::Organisation(organisation(shared, directory, headers)?.name.clone())
+        }
     };
     Ok((route, caller))
 }
 
 /// Who asks about a job of a host.
-fn about_job(
-    shared: &Shared,
-    plan: &Plan,
-    host: &str,
-    headers: &HeaderMap,
-) -> Result<Caller, Kind> {
+fn for_job(shared: &Shared, plan: &Plan, host: &str, headers: &HeaderMap) -> Result<Caller, Kind> {
     let Some(directory) = &plan.organisations else {
-        return Ok(Caller::Anybody);
+        return Ok(Caller::Unrestricted);
     };
     match organisation(shared, directory, headers) {
-        Ok(organisation) => Ok(Caller::Of(organisation.name.clone())),
-        Err(_) if plan.has_public_jobs(host) => Ok(Caller::Nobody),
+        Ok(organisation) => Ok(Caller::Organisation(organisation.name.clone())),
+        Err(_) if plan.has_public_jobs(host) => Ok(Caller::Anonymous),
         Err(kind) => Err(kind),
     }
 }
@@ -115,30 +112,30 @@
 /// # Errors
 ///
 /// Why it is refused: [`Kind::StoreAway`] where that cannot be known.
-pub async fn routed(
+pub async fn identify_for_route(
     shared: &Rc<Shared>,
     host: &str,
     path: &str,
     headers: &HeaderMap,
 ) -> Result<(Route, Caller), Kind> {
-    decide(shared, |plan| on_route(shared, plan, host, path, headers)).await
+    with_current_configuration(shared, |plan| for_route(shared, plan, host, path, headers)).await
 }
 
 /// Who asks about a job, by the newest configuration.
 ///
 /// # Errors
 ///
-/// As [`routed`].
-pub async fn of_job(shared: &Rc<Shared>, headers: &HeaderMap) -> Result<Caller, Kind> {
+/// As [`identify_for_route`].
+pub async fn identify_for_job(shared: &Rc<Shared>, headers: &HeaderMap) -> Result<Caller, Kind> {
     let host = headers.get(header::HOST).and_then(|host| host.to_str().ok()).unwrap_or("");
-    decide(shared, |plan| about_job(shared, plan, host, headers)).await
+    with_current_configuration(shared, |plan| for_job(shared, plan, host, headers)).await
 }
 
-async fn decide<T>(
+async fn with_current_configuration<T>(
     shared: &Rc<Shared>,
     judge: impl Fn(&Plan) -> Result<T, Kind>,
 ) -> Result<T, Kind> {
-    let until = Instant::now() + WAIT;
+    let until = Instant::now() + CONFIGURATION_WAIT;
     loop {
         let told = shared.configured.notified();
         let plan = shared.world.borrow().plan.clone().ok_or(Kind::StoreAway)?;
--- a/crates/hollywell/src/entry/duties.rs
+++ b/crates/hollywell/src/entry/duties.rs
@@ -152,7 +152,7 @@
         shared.meters.reports.with_label_values(&[label]).inc();
         match status {
             Ok(StatusCode::OK) => {
-                shared.meters.reported.set(i64::try_from(window).unwrap_or(i64::MAX));
+                shared.meters.reported_window.set(i64::try_from(window).unwrap_or(i64::MAX));
                 write(shared, usage::reported(window), end).await
             }
             // A holder of a later grant was there first.
--- a/crates/hollywell/src/entry/ends.rs
+++ b/crates/hollywell/src/entry/ends.rs
@@ -16,7 +16,7 @@
         room::Use,
     },
     entry::{
-        jobs::Reply,
+        jobs::JobReply,
         peers,
         shared::{JOBS, Shared},
         store::{Append, Appended, Fault, Part},
@@ -64,19 +64,19 @@
 }
 
 /// Ends a job for a caller: it stops at once, whatever the store does. The
-/// answer is [`Reply::Done`] only once the store has the end.
-pub async fn ask(shared: &Rc<Shared>, job: &str, known: bool) -> Reply {
+/// answer is [`JobReply::Done`] only once the store has the end.
+pub async fn ask(shared: &Rc<Shared>, job: &str, known: bool) -> JobReply {
     tell(shared, &Event::Asked { job: job.to_owned(), known });
     if !known {
-        return Reply::Unknown;
+        return JobReply::OutcomeUnknown;
     }
     let until = Instant::now() + LOOK_FOR;
     loop {
         match progress(shared, job) {
-            Progress::Done => return Reply::Done,
+            Progress::Done => return JobReply::Done,
             // It goes on being tried; the caller is not kept for that.
-            Progress::Refused => return Reply::Unknown,
-            Progress::Open if Instant::now() >= until => return Reply::Unknown,
+            Progress::Refused => return JobReply::OutcomeUnknown,
+            Progress::Open if Instant::now() >= until => return JobReply::OutcomeUnknown,
             Progress::Open => sleep(LOOK_PAUSE).await,
         }
     }
--- a/crates/hollywell/src/entry/feed.rs
+++ b/crates/hollywell/src/entry/feed.rs
@@ -236,7 +236,7 @@
     let demand = relay::Demand {
         instances: world.roster.members().len(),
         targets: world.fleet.targets.len(),
-        beat_ms: u64::try_from(shared.settings.times.beat.as_millis()).unwrap_or(u64::MAX),
+        beat_ms: u64::try_from(shared.settings.times.heartbeat.as_millis()).unwrap_or(u64::MAX),
     };
     // How many read it is not known where not all show.
     world.census.is_full() || relay::is_crowded(shared.settings.store.supply, demand)
--- a/crates/hollywell/src/entry/follow.rs
+++ b/crates/hollywell/src/entry/follow.rs
@@ -327,7 +327,7 @@
     match (shared.codec.announcement)(id, value) {
         Ok(said) => announced(shared, world, now, said),
         Err(why) => {
-            shared.meters.entries_skipped.inc();
+            shared.meters.announcements_skipped.inc();
             if world.fleet.skip(id, &why) {
                 log::warn!("entry of {id} names no target to use: {why}");
             }
@@ -392,7 +392,7 @@
         }
         Ok(None) => {}
         Err(why) => {
-            shared.meters.plans_skipped.inc();
+            shared.meters.commands_skipped.inc();
             log::warn!("record {:?} of the operator skipped: {why}", record.key);
         }
     }
--- a/crates/hollywell/src/entry/forward.rs
+++ b/crates/hollywell/src/entry/forward.rs
@@ -22,7 +22,7 @@
         fleet::Announcement,
         hold,
         plan::{Repeat, Route},
-        poison::{Digest, Verdict as Blame},
+        poison::{Digest, Verdict},
         time::Time,
     },
     entry::{
@@ -67,7 +67,7 @@
 
 /// A plain request, ready to be sent.
 #[derive(Clone, Debug)]
-pub struct Plain {
+pub struct PlainRequest {
     /// Its method.
     pub method: Method,
     /// Its path and query.
@@ -90,7 +90,7 @@
     pub digest: OnceCell<Digest>,
 }
 
-impl Plain {
+impl PlainRequest {
     /// What it has in common with the same request asked again.
     #[must_use]
     pub fn digest(&self) -> Digest {
@@ -105,7 +105,7 @@
     }
 }
 
-impl Plain {
+impl PlainRequest {
     /// Counts it for its organisation as it is sent for the first time.
     fn begin(&self, shared: &Shared) {
         if self.began.get().is_none() {
@@ -123,7 +123,7 @@
 
 /// A target's whole answer.
 #[derive(Clone, Debug)]
-pub struct Whole {
+pub struct TargetResponse {
     /// Its status.
     pub status: StatusCode,
     /// Its headers, without those of the connection.
@@ -132,7 +132,7 @@
     pub body: Bytes,
 }
 
-impl Whole {
+impl TargetResponse {
     /// The target's signature.
     #[must_use]
     pub fn signature(&self, name: &HeaderName) -> Option<String> {
@@ -142,21 +142,21 @@
 
 /// What became of a request.
 #[derive(Clone, Debug)]
-pub enum Verdict {
+pub enum ForwardResult {
     /// A target answered.
-    Answered(Whole),
+    Answered(TargetResponse),
     /// No target's answer can be passed on; when to come back, in
     /// milliseconds, where that is known.
     Refused(Kind, Option<u64>),
 }
 
 /// What became of one send.
-enum Sent {
-    Answered(Whole),
+enum SendOutcome {
+    Answered(TargetResponse),
     NotRun,
-    Maybe,
+    MayHaveRun,
     /// The target has ended meanwhile.
-    Ended,
+    TargetExited,
 }
 
 /// What became of a request's sends so far.
@@ -169,7 +169,7 @@
     /// Targets that ended under the request, here or before.
     ends: u32,
     /// A target's own failure, to be passed on if nothing better comes.
-    failure: Option<Whole>,
+    failure: Option<TargetResponse>,
     /// The request is held back from all targets.
     held: bool,
     /// When to come back, in milliseconds, where that is known.
@@ -186,16 +186,16 @@
 
     /// Takes over what became of a send; an answer that ends the request is
     /// returned.
-    fn note(&mut self, route: &Route, target: String, sent: Sent) -> Option<Whole> {
+    fn note(&mut self, route: &Route, target: String, sent: SendOutcome) -> Option<TargetResponse> {
         self.tried.push(target);
         match sent {
-            Sent::NotRun => {}
-            Sent::Maybe => self.ran = true,
-            Sent::Ended => {
+            SendOutcome::NotRun => {}
+            SendOutcome::MayHaveRun => self.ran = true,
+            SendOutcome::TargetExited => {
                 self.ran = true;
                 self.ends += 1;
             }
-            Sent::Answered(whole) => {
+            SendOutcome::Answered(whole) => {
                 self.ran = true;
                 let is_failure = whole.status == StatusCode::INTERNAL_SERVER_ERROR;
                 if !is_failure || route.repeat != Repeat::Safe {
@@ -220,8 +220,13 @@
 
 /// Sends a request until it is answered, its attempts are used up or its
 /// time is over.
-pub async fn run(shared: &Rc<Shared>, route: &Route, plain: &Plain, salt: u64) -> Verdict {
-    let suspected = suspects::verdict(shared, || plain.digest()) == Blame::Suspect;
+pub async fn run(
+    shared: &Rc<Shared>,
+    route: &Route,
+    plain: &PlainRequest,
+    salt: u64,
+) -> ForwardResult {
+    let suspected = suspects::verdict(shared, || plain.digest()) == Verdict::Suspect;
     let mut attempt = Attempt { ends: u32::from(suspected), ..Attempt::default() };
     while attempt.may_go_on(route) {
         let now = shared.now();
@@ -232,13 +237,13 @@
         // Asked before each send: another instance's target may have ended
         // under the same request a moment ago.
         let (target, turn) = match suspects::verdict(shared, || plain.digest()) {
-            Blame::Held(ms) => {
-                shared.meters.held.inc();
+            Verdict::Held(ms) => {
+                shared.meters.held_back.inc();
                 (attempt.held, attempt.come_back_ms) = (true, Some(ms));
                 break;
             }
-            Blame::Free => (choose(shared, route, &attempt.tried, salt), None),
-            Blame::Suspect => {
+            Verdict::Free => (choose(shared, route, &attempt.tried, salt), None),
+            Verdict::Suspect => {
                 let pool = pick_pool(route, salt).unwrap_or("");
                 if !suspects::is_settled(shared, plain.digest()) {
                     tokio::time::sleep(PAUSE).await;
@@ -249,7 +254,7 @@
                     continue;
                 };
                 // Another instance may have told of it meanwhile.
-                if suspects::verdict(shared, || plain.digest()) != Blame::Suspect {
+                if suspects::verdict(shared, || plain.digest()) != Verdict::Suspect {
                     continue;
                 }
                 match suspects::trial(shared, pool, plain.digest()) {
@@ -279,29 +284,30 @@
             _ => left_ms,
         };
         let began = plain.began.get();
-        let trip = Trip { plain, target: &target, limit_ms, left_ms, is_trial: turn.is_some() };
+        let trip =
+            SendAttempt { plain, target: &target, limit_ms, left_ms, is_trial: turn.is_some() };
         let sent = send(shared, route, &trip).await;
         match turn {
-            Some(turn) if matches!(sent, Sent::Ended) => turn.keep(),
+            Some(turn) if matches!(sent, SendOutcome::TargetExited) => turn.keep(),
             other => drop(other),
         }
-        if matches!(sent, Sent::NotRun) && began.is_none() {
+        if matches!(sent, SendOutcome::NotRun) && began.is_none() {
             plain.undo_begin(shared);
         }
-        if let Sent::Answered(_) = &sent {
+        if let SendOutcome::Answered(_) = &sent {
             let took_ms = shared.now().since(now);
             shared.world.borrow_mut().sights.answered(&target.id, took_ms);
         }
         if let Some(whole) = attempt.note(route, target.id, sent) {
-            return Verdict::Answered(whole);
+            return ForwardResult::Answered(whole);
         }
     }
     if let Some(whole) = attempt.failure {
-        return Verdict::Answered(whole);
+        return ForwardResult::Answered(whole);
     }
     let (kind, tried) = (attempt.kind(), &attempt.tried);
     log::info!("request {} on {}: {}; tried {tried:?}", plain.id, route.name, kind.as_str());
-    Verdict::Refused(kind, attempt.come_back_ms)
+    ForwardResult::Refused(kind, attempt.come_back_ms)
 }
 
 /// What is known of a route's targets where none of them can take a request.
@@ -369,8 +375,8 @@
 }
 
 /// One send of a request.
-struct Trip<'a> {
-    plain: &'a Plain,
+struct SendAttempt<'a> {
+    plain: &'a PlainRequest,
     target: &'a Announcement,
     /// How long the answer may take, in milliseconds.
     limit_ms: u64,
@@ -380,8 +386,8 @@
     is_trial: bool,
 }
 
-async fn send(shared: &Rc<Shared>, route: &Route, trip: &Trip<'_>) -> Sent {
-    let &Trip { plain, target, limit_ms, left_ms, .. } = trip;
+async fn send(shared: &Rc<Shared>, route: &Route, trip: &SendAttempt<'_>) -> SendOutcome {
+    let &SendAttempt { plain, target, limit_ms, left_ms, .. } = trip;
     shared.world.borrow_mut().sights.sent(&target.id);
     let _count = Counted { shared, id: &target.id };
     let limit = Duration::from_millis(limit_ms);
@@ -401,7 +407,7 @@
     if may_have_run && route.repeat == Repeat::Safe {
         note_unanswered(shared, plain, target, &Error::StaleConnection);
         if look(shared, trip).await {
-            return Sent::Ended;
+            return SendOutcome::TargetExited;
         }
         shared.pool.forget(target.address);
         let again = request(shared, plain, target, left_ms);
@@ -415,9 +421,9 @@
         }
         Err(Error::Cancelled) => {
             if may_have_run {
-                Sent::Maybe
+                SendOutcome::MayHaveRun
             } else {
-                Sent::NotRun
+                SendOutcome::NotRun
             }
         }
         Err(error) => {
@@ -428,7 +434,7 @@
             }
             if error.is_not_sent() {
                 // The send before it may have run.
-                return if may_have_run { Sent::Maybe } else { Sent::NotRun };
+                return if may_have_run { SendOutcome::MayHaveRun } else { SendOutcome::NotRun };
             }
             broken(shared, trip, &error).await
         }
@@ -437,7 +443,7 @@
 
 /// Notes a send without an answer, so that the same request can be found at
 /// other targets and instances.
-fn note_unanswered(shared: &Shared, plain: &Plain, target: &Announcement, error: &Error) {
+fn note_unanswered(shared: &Shared, plain: &PlainRequest, target: &Announcement, error: &Error) {
     shared.meters.unanswered.with_label_values(&[error.as_str()]).inc();
     let life = target.life();
     log::info!("request {} ({}) at {life}: {error}", plain.id, plain.digest());
@@ -459,11 +465,11 @@
 
 async fn take(
     shared: &Rc<Shared>,
-    trip: &Trip<'_>,
+    trip: &SendAttempt<'_>,
     answer: IncomingResponse,
     left: Duration,
-) -> Sent {
-    let &Trip { plain, target, .. } = trip;
+) -> SendOutcome {
+    let &SendAttempt { plain, target, .. } = trip;
     let names = &shared.codec.headers;
     let now = shared.now();
     if let Some(load) = answer.header(&names.load).and_then(shared.codec.load) {
@@ -475,7 +481,7 @@
     if not_run {
         shared.world.borrow_mut().sights.full(now, &target.id);
         log::debug!("request {} at {}: not run, {status}", plain.id, target.id);
-        return Sent::NotRun;
+        return SendOutcome::NotRun;
     }
     let mine = answer.header(&names.request_id) == Some(plain.id.as_str());
     let signed = answer.head.headers.contains_key(&names.signature);
@@ -483,7 +489,7 @@
         // Dropping the answer closes the connection: whatever else is on it
         // belongs to nobody.
         log::info!("request {} at {}: an answer that is not its own", plain.id, target.id);
-        return Sent::Maybe;
+        return SendOutcome::MayHaveRun;
     }
     let mut headers = answer.head.headers.clone();
     match answer.read_body(ANSWER_BYTES, left).await {
@@ -493,7 +499,7 @@
             }
             shared.world.borrow_mut().sights.sound(now, &target.id);
             suspects::served(shared, || plain.digest());
-            Sent::Answered(Whole { status, headers, body })
+            SendOutcome::Answered(TargetResponse { status, headers, body })
         }
         Err(error) => {
             note_unanswered(shared, plain, target, &error);
@@ -503,13 +509,17 @@
 }
 
 /// What became of a send that broke. A slow target is no ended one.
-async fn broken(shared: &Rc<Shared>, trip: &Trip<'_>, error: &Error) -> Sent {
+async fn broken(shared: &Rc<Shared>, trip: &SendAttempt<'_>, error: &Error) -> SendOutcome {
     let is_broken = matches!(error, Error::StaleConnection | Error::Broken(_));
-    if is_broken && look(shared, trip).await { Sent::Ended } else { Sent::Maybe }
+    if is_broken && look(shared, trip).await {
+        SendOutcome::TargetExited
+    } else {
+        SendOutcome::MayHaveRun
+    }
 }
 
 /// Whether the target has ended under a send.
-async fn look(shared: &Rc<Shared>, trip: &Trip<'_>) -> bool {
+async fn look(shared: &Rc<Shared>, trip: &SendAttempt<'_>) -> bool {
     let mine = shared.world.borrow().sights.of(&trip.target.id).map(|sight| sight.mine);
     let is_alone = trip.is_trial && mine == Some(1);
     suspects::look(shared, trip.target, trip.plain.digest(), is_alone).await
@@ -517,7 +527,7 @@
 
 fn request(
     shared: &Shared,
-    plain: &Plain,
+    plain: &PlainRequest,
     target: &Announcement,
     left_ms: u64,
 ) -> Request<Full<Bytes>> {
--- a/crates/hollywell/src/entry/ingress.rs
+++ b/crates/hollywell/src/entry/ingress.rs
@@ -25,8 +25,8 @@
     entry::{
         caller::{self, Caller},
         codec::Operation,
-        forward::{self, Plain, Verdict},
-        jobs::{self, Reply},
+        forward::{self, ForwardResult, PlainRequest},
+        jobs::{self, JobReply},
         shared::Shared,
     },
     error::Kind,
@@ -48,15 +48,15 @@
 /// Deadline of a caller that states none and whose route states none.
 const DEADLINE_MS: u64 = 10_000;
 
-type Reply200 = Response<Full<Bytes>>;
+type HttpResponse = Response<Full<Bytes>>;
 
 /// Requests that are being answered, for an orderly stop.
 #[derive(Debug, Default)]
-pub struct Open {
+pub struct OpenRequests {
     requests: Cell<usize>,
 }
 
-impl Open {
+impl OpenRequests {
     /// How many requests are being answered.
     #[must_use]
     pub fn count(&self) -> usize {
@@ -64,23 +64,23 @@
     }
 }
 
-struct Entered(Rc<Open>);
+struct OpenRequestGuard(Rc<OpenRequests>);
 
-impl Entered {
-    fn new(open: &Rc<Open>) -> Entered {
+impl OpenRequestGuard {
+    fn new(open: &Rc<OpenRequests>) -> OpenRequestGuard {
         open.requests.set(open.requests.get() + 1);
-        Entered(open.clone())
+        OpenRequestGuard(open.clone())
     }
 }
 
-impl Drop for Entered {
+impl Drop for OpenRequestGuard {
     fn drop(&mut self) {
         self.0.requests.set(self.0.requests.get() - 1);
     }
 }
 
 /// Serves callers until the instance stops.
-pub async fn serve(shared: Rc<Shared>, listener: TcpListener, open: Rc<Open>) {
+pub async fn serve(shared: Rc<Shared>, listener: TcpListener, open: Rc<OpenRequests>) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
@@ -94,7 +94,7 @@
     }
 }
 
-async fn connection(shared: Rc<Shared>, stream: TcpStream, open: Rc<Open>) {
+async fn connection(shared: Rc<Shared>, stream: TcpStream, open: Rc<OpenRequests>) {
     if let Err(error) = stream.set_nodelay(true) {
         log::debug!("a connection: {error}");
     }
@@ -105,7 +105,7 @@
     let service = service_fn(|request| {
         let (shared, open) = (shared.clone(), open.clone());
         async move {
-            let _entered = Entered::new(&open);
+            let _entered = OpenRequestGuard::new(&open);
             let mut response = answer(&shared, request).await;
             if shared.world.borrow().stopping {
                 let close = HeaderValue::from_static("close");
@@ -134,7 +134,7 @@
     }
 }
 
-async fn answer(shared: &Rc<Shared>, request: Request<Incoming>) -> Reply200 {
+async fn answer(shared: &Rc<Shared>, request: Request<Incoming>) -> HttpResponse {
     let arrived = shared.now();
     let ask = (shared.codec.operation)(request.method(), request.uri());
     let label = match &ask {
@@ -156,7 +156,7 @@
     request: Request<Incoming>,
     ask: Operation,
     arrived: Time,
-) -> Reply200 {
+) -> HttpResponse {
     let headers = request.headers();
     match ask {
         Operation::Ready => ready(shared),
@@ -182,9 +182,9 @@
 async fn by_caller(
     shared: &Rc<Shared>,
     headers: &http::HeaderMap,
-    job_call: impl AsyncFnOnce(&Caller) -> Reply,
-) -> Reply200 {
-    match caller::of_job(shared, headers).await {
+    job_call: impl AsyncFnOnce(&Caller) -> JobReply,
+) -> HttpResponse {
+    match caller::identify_for_job(shared, headers).await {
         Ok(caller) => reply(shared, job_call(&caller).await),
         Err(kind) => refuse(shared, kind),
     }
@@ -205,17 +205,17 @@
 
 /// All meters as text.
 #[must_use]
-pub fn metrics(shared: &Shared) -> Reply200 {
+pub fn metrics(shared: &Shared) -> HttpResponse {
     let meters = &shared.meters;
     let gauge = |value: usize| i64::try_from(value).unwrap_or(i64::MAX);
     {
         let world = shared.world.borrow();
         let plan = world.plan.as_ref().map_or(0, |plan| plan.version);
-        meters.plan.set(i64::try_from(plan).unwrap_or(i64::MAX));
+        meters.configuration_version.set(i64::try_from(plan).unwrap_or(i64::MAX));
         meters.members.set(gauge(world.roster.members().len()));
         meters.in_flight.set(gauge(world.dispatch.in_flight()));
     }
-    meters.connections.set(i64::try_from(shared.pool.opened.get()).unwrap_or(i64::MAX));
+    meters.connections_opened.set(i64::try_from(shared.pool.opened.get()).unwrap_or(i64::MAX));
     meters.ready.set(i64::from(is_ready(shared)));
     match meters.text() {
         Ok(text) => Response::new(Full::new(Bytes::from(text))),
@@ -228,7 +228,7 @@
 
 /// Answers whether this instance takes callers.
 #[must_use]
-pub fn ready(shared: &Shared) -> Reply200 {
+pub fn ready(shared: &Shared) -> HttpResponse {
     let ok = is_ready(shared);
     let mut response = Response::new(Full::default());
     *response.status_mut() = if ok { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
@@ -242,15 +242,15 @@
     world.plan.clone().filter(|_| world.poison_known)
 }
 
-async fn routed(shared: &Rc<Shared>, request: Request<Incoming>, arrived: Time) -> Reply200 {
+async fn routed(shared: &Rc<Shared>, request: Request<Incoming>, arrived: Time) -> HttpResponse {
     let (mut head, body) = request.into_parts();
     let host = head.headers.get(header::HOST).and_then(|host| host.to_str().ok()).unwrap_or("");
     let host = host.to_owned();
-    let (route, caller) = match caller::routed(shared, &host, head.uri.path(), &head.headers).await
-    {
-        Ok(judged) => judged,
-        Err(kind) => return refuse(shared, kind),
-    };
+    let (route, caller) =
+        match caller::identify_for_route(shared, &host, head.uri.path(), &head.headers).await {
+            Ok(judged) => judged,
+            Err(kind) => return refuse(shared, kind),
+        };
     let Some(plan) = known_plan(shared) else {
         return refuse(shared, Kind::StoreAway);
     };
@@ -279,7 +279,7 @@
     let timeout_ms = if route.timeout_ms == 0 { DEADLINE_MS } else { route.timeout_ms };
     let deadline_ms = number(&head.headers, &names.deadline).unwrap_or(timeout_ms).min(timeout_ms);
     let target = head.uri.path_and_query().map_or("/", |path| path.as_str()).to_owned();
-    let plain = Plain {
+    let plain = PlainRequest {
         method: head.method,
         target,
         host,
@@ -294,16 +294,21 @@
     forwarded(shared, &plan, &route, &plain).await
 }
 
-async fn forwarded(shared: &Rc<Shared>, plan: &Plan, route: &Route, plain: &Plain) -> Reply200 {
+async fn forwarded(
+    shared: &Rc<Shared>,
+    plan: &Plan,
+    route: &Route,
+    plain: &PlainRequest,
+) -> HttpResponse {
     let salt = xxhash_rust::xxh3::xxh3_64(plain.id.as_bytes());
     match forward::run(shared, route, plain, salt).await {
-        Verdict::Answered(whole) => {
+        ForwardResult::Answered(whole) => {
             let mut response = Response::new(Full::new(whole.body));
             *response.status_mut() = whole.status;
             *response.headers_mut() = whole.headers;
             response
         }
-        Verdict::Refused(kind, come_back_ms) => {
+        ForwardResult::Refused(kind, come_back_ms) => {
             log::info!("request {} refused: {} in {}", plain.id, kind.as_str(), plan.version);
             let refusal = refuse(shared, kind);
             match come_back_ms {
@@ -321,7 +326,7 @@
     host: &str,
     path: &str,
     raw: &[u8],
-) -> Reply200 {
+) -> HttpResponse {
     let mut decoded = match (shared.codec.submission)(raw) {
         Ok(decoded) => decoded,
         Err(why) => {
@@ -329,12 +334,12 @@
             return refuse(shared, Kind::Malformed);
         }
     };
-    if *caller != Caller::Anybody {
+    if *caller != Caller::Unrestricted {
         let own = [header::AUTHORIZATION.as_str(), shared.codec.headers.organisation.as_str()];
         decoded.drop_headers(&own);
     }
     let done = jobs::submit(shared, caller, id, host, path, &decoded).await;
-    let accepted = done == Reply::Done;
+    let accepted = done == JobReply::Done;
     let mut response = reply(shared, done);
     if accepted {
         *response.status_mut() = StatusCode::ACCEPTED;
@@ -342,22 +347,22 @@
     response
 }
 
-fn reply(shared: &Shared, reply: Reply) -> Reply200 {
+fn reply(shared: &Shared, reply: JobReply) -> HttpResponse {
     match reply {
-        Reply::Done => Response::new(Full::default()),
-        Reply::Found(body) => Response::new(Full::new(body)),
-        Reply::NotDone | Reply::Unsure => refuse(shared, Kind::StoreAway),
-        Reply::NoRoom(ms) => come_back(refuse(shared, Kind::StoreFull), ms),
-        Reply::Unknown => refuse(shared, Kind::OutcomeUnknown),
-        Reply::Missing => refuse(shared, Kind::NoRoute),
-        Reply::Malformed(why) => {
+        JobReply::Done => Response::new(Full::default()),
+        JobReply::Body(body) => Response::new(Full::new(body)),
+        JobReply::Rejected | JobReply::Unavailable => refuse(shared, Kind::StoreAway),
+        JobReply::StoreFull(ms) => come_back(refuse(shared, Kind::StoreFull), ms),
+        JobReply::OutcomeUnknown => refuse(shared, Kind::OutcomeUnknown),
+        JobReply::NotFound => refuse(shared, Kind::NoRoute),
+        JobReply::Malformed(why) => {
             log::info!("refused: {why}");
             refuse(shared, Kind::Malformed)
         }
     }
 }
 
-fn refuse(shared: &Shared, kind: Kind) -> Reply200 {
+fn refuse(shared: &Shared, kind: Kind) -> HttpResponse {
     let answer = kind.answer();
     let mut response = Response::new(Full::new(Bytes::from_static(answer.text.as_bytes())));
     *response.status_mut() =
@@ -378,7 +383,7 @@
 
 /// Tells a caller when to come back, a little spread, so that those who were
 /// refused together do not return together.
-fn come_back(mut response: Reply200, ms: u64) -> Reply200 {
+fn come_back(mut response: HttpResponse, ms: u64) -> HttpResponse {
     let seconds = ms as f64 / 1_000.0 * rand::random_range(1.0..=COME_BACK_SPREAD);
     match HeaderValue::from_str(&format!("{seconds:.2}")) {
         Ok(value) => drop(response.headers_mut().insert(header::RETRY_AFTER, value)),
--- a/crates/hollywell/src/entry/jobs.rs
+++ b/crates/hollywell/src/entry/jobs.rs
@@ -24,7 +24,7 @@
         caller::Caller,
         codec::{Delivered, Results},
         ends,
-        forward::{self, Plain, Verdict},
+        forward::{self, ForwardResult, PlainRequest},
         news::{self, News},
         room, samples,
         shared::{JOBS, Shared, wall_ms},
@@ -62,27 +62,27 @@
 
 /// What became of a caller's wish about a job.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Reply {
+pub enum JobReply {
     /// It was done.
     Done,
     /// It was not done and never will be.
-    NotDone,
+    Rejected,
     /// It was not done, since the store has no room for it, and never will
     /// be; when to come back, in milliseconds.
-    NoRoom(u64),
+    StoreFull(u64),
     /// It may be done later.
-    Unknown,
+    OutcomeUnknown,
     /// There is no such job or sample.
-    Missing,
+    NotFound,
     /// This instance cannot be sure now.
-    Unsure,
+    Unavailable,
     /// The wish makes no sense.
     Malformed(String),
     /// Here it is.
-    Found(Bytes),
+    Body(Bytes),
 }
 
-/// Takes a job in. [`Reply::Done`] means that it is kept from now on.
+/// Takes a job in. [`JobReply::Done`] means that it is kept from now on.
 pub async fn submit(
     shared: &Rc<Shared>,
     caller: &Caller,
@@ -90,13 +90,13 @@
     host: &str,
     path: &str,
     decoded: &Submission,
-) -> Reply {
+) -> JobReply {
     let part = shared.part_of(job);
     if let Some(reply) = accepted(shared, caller, part, job) {
         return reply;
     }
     if !batch::is_id(job) || decoded.samples.iter().any(|sample| !batch::is_id(&sample.id)) {
-        return Reply::Malformed(format!(
+        return JobReply::Malformed(format!(
             "ids have 1 to {} bytes, none of them '|'",
             batch::MAX_ID
         ));
@@ -121,7 +121,7 @@
                 shared.orphans.refused(shared.now(), job);
             }
             log::info!("job {job} refused, its samples: {fault}");
-            return Reply::NotDone;
+            return JobReply::Rejected;
         }
     };
     let head = Head {
@@ -139,14 +139,14 @@
     let (key, value) = batch::head_record(job, &head);
     let most = shared.settings.store.record_bytes;
     if key.len() + value.len() >= most {
-        return Reply::Malformed(format!("{} bytes of a job's head exceed {most}", value.len()));
+        return JobReply::Malformed(format!("{} bytes of a job's head exceed {most}", value.len()));
     }
     let what = format!("job {job} of {} samples", decoded.samples.len());
     let kept = keep(shared, part, (key, value), &what, |shared| known(shared, part, job)).await;
-    if matches!(kept, Reply::NotDone | Reply::NoRoom(_)) {
+    if matches!(kept, JobReply::Rejected | JobReply::StoreFull(_)) {
         shared.orphans.refused(shared.now(), job);
     }
-    if kept == Reply::Done {
+    if kept == JobReply::Done {
         tokio::task::spawn_local(unstarted::watch(shared.clone(), part, job.to_owned()));
         let shared = shared.clone();
         tokio::task::spawn_local(async move {
@@ -156,11 +156,11 @@
     kept
 }
 
-fn no_room(shared: &Shared, job: &str, come_back_ms: u64) -> Reply {
+fn no_room(shared: &Shared, job: &str, come_back_ms: u64) -> JobReply {
     log::info!("job {job} refused: no room in the store, come back in {come_back_ms} ms");
-    shared.meters.no_room.inc();
+    shared.meters.jobs_without_space.inc();
     shared.orphans.refused(shared.now(), job);
-    Reply::NoRoom(come_back_ms)
+    JobReply::StoreFull(come_back_ms)
 }
 
 /// Appends a job's head; where no answer comes, looks whether it is there.
@@ -170,19 +170,19 @@
     (key, value): (String, Bytes),
     what: &str,
     there: impl Fn(&Shared) -> bool,
-) -> Reply {
+) -> JobReply {
     let records = vec![(Some(key), value)];
     let (at, purpose) = (Part::at(JOBS, part), Use::Head);
     let append = Append { part: at, records, expected_end: None, purpose };
     match shared.append(append).await {
         Ok(_) => {
             log::info!("{what} accepted");
-            Reply::Done
+            JobReply::Done
         }
-        Err(Fault::Full) => Reply::NoRoom(FULL_MS),
+        Err(Fault::Full) => JobReply::StoreFull(FULL_MS),
         Err(fault) if fault.is_not_done() => {
             log::info!("{what} refused: {fault}");
-            Reply::NotDone
+            JobReply::Rejected
         }
         Err(fault) => {
             log::info!("{what}: {fault}; looking for it");
@@ -204,24 +204,24 @@
 
 /// What a submission is answered whose job is there. Another organisation's
 /// job of that id is none that this caller is told of.
-fn accepted(shared: &Shared, caller: &Caller, part: usize, job: &str) -> Option<Reply> {
+fn accepted(shared: &Shared, caller: &Caller, part: usize, job: &str) -> Option<JobReply> {
     if !known(shared, part, job) {
         return None;
     }
-    Some(if is_seen(shared, caller, part, job) { Reply::Done } else { Reply::Missing })
+    Some(if is_seen(shared, caller, part, job) { JobReply::Done } else { JobReply::NotFound })
 }
 
 /// Waits until something that may have been appended is read.
-async fn look_for(shared: &Rc<Shared>, part: usize, there: impl Fn(&Shared) -> bool) -> Reply {
+async fn look_for(shared: &Rc<Shared>, part: usize, there: impl Fn(&Shared) -> bool) -> JobReply {
     let until = Instant::now() + LOOK_FOR;
     while Instant::now() < until {
         let _unsure = catch_up(shared, part).await;
         if there(shared) {
-            return Reply::Done;
+            return JobReply::Done;
         }
         sleep(LOOK_PAUSE).await;
     }
-    Reply::Unknown
+    JobReply::OutcomeUnknown
 }
 
 /// Reads a partition to its end, whatever its follower is doing. Returns
@@ -267,7 +267,7 @@
     job: &str,
     after: usize,
     hold: Duration,
-) -> Reply {
+) -> JobReply {
     let part = shared.part_of(job);
     let until = Instant::now() + hold;
     let listed = |shared: &Shared| {
@@ -278,16 +278,16 @@
     };
     // A position beyond the fold was read elsewhere, or never existed.
     if listed(shared).is_none_or(|(len, _)| len < after) && !catch_up(shared, part).await {
-        return Reply::Unsure;
+        return JobReply::Unavailable;
     }
     if !is_seen(shared, caller, part, job) {
-        return Reply::Missing;
+        return JobReply::NotFound;
     }
     let _waits = Waits::new(shared, part);
     loop {
         let notified = shared.listed[part].notified();
         let Some((len, due)) = listed(shared) else {
-            return Reply::Missing;
+            return JobReply::NotFound;
         };
         let waited = Instant::now() >= until;
         if due || waited && len > after {
@@ -298,7 +298,7 @@
             // silent since the follower last heard from it.
             return match catch_up(shared, part).await {
                 true => page(shared, part, job, after).await,
-                false => Reply::Unsure,
+                false => JobReply::Unavailable,
             };
         }
         let _no_news = timeout_at(until, notified).await;
@@ -326,16 +326,16 @@
     }
 }
 
-async fn page(shared: &Rc<Shared>, part: usize, job: &str, after: usize) -> Reply {
+async fn page(shared: &Rc<Shared>, part: usize, job: &str, after: usize) -> JobReply {
     let Some((total, outcomes)) = outcomes(shared, part, job, after) else {
-        return Reply::Missing;
+        return JobReply::NotFound;
     };
     let wanted: Vec<TextRef> = outcomes.iter().filter_map(|o| o.text.clone()).collect();
     let mut texts = match texts::fetch(shared, &wanted).await {
         Ok(texts) => texts.into_iter(),
         Err(fault) => {
             log::info!("texts of job {job} from {after} on: {fault}");
-            return Reply::Unsure;
+            return JobReply::Unavailable;
         }
     };
     let next = after + outcomes.len();
@@ -345,7 +345,7 @@
         Delivered { outcome, text }
     };
     let results = outcomes.into_iter().map(delivered).collect();
-    Reply::Found((shared.codec.results)(&Results { total, next, results }))
+    JobReply::Body((shared.codec.results)(&Results { total, next, results }))
 }
 
 /// A job's number of samples and as many of its results as fit in an answer.
@@ -377,13 +377,18 @@
 }
 
 /// The body of a sample that is not listed.
-pub async fn sample_body(shared: &Rc<Shared>, caller: &Caller, job: &str, sample: &str) -> Reply {
+pub async fn sample_body(
+    shared: &Rc<Shared>,
+    caller: &Caller,
+    job: &str,
+    sample: &str,
+) -> JobReply {
     let part = shared.part_of(job);
     if !known(shared, part, job) && !catch_up(shared, part).await {
-        return Reply::Unsure;
+        return JobReply::Unavailable;
     }
     if !is_seen(shared, caller, part, job) {
-        return Reply::Missing;
+        return JobReply::NotFound;
     }
     let at = {
         let world = shared.world.borrow();
@@ -391,25 +396,25 @@
         found.and_then(|job| job.index.get(sample).copied().filter(|at| !job.done[*at]))
     };
     let Some(at) = at else {
-        return Reply::Missing;
+        return JobReply::NotFound;
     };
     let slot = Slot { job: job.to_owned(), at };
     match samples::get(shared, &slot).await {
-        Some(sample) => Reply::Found(sample.body),
-        None => Reply::Unsure,
+        Some(sample) => JobReply::Body(sample.body),
+        None => JobReply::Unavailable,
     }
 }
 
 /// Ends a job. It stops at once and at all instances, whatever the store
 /// does ([`ends`]).
-pub async fn end(shared: &Rc<Shared>, caller: &Caller, job: &str) -> Reply {
+pub async fn end(shared: &Rc<Shared>, caller: &Caller, job: &str) -> JobReply {
     if !batch::is_id(job) {
-        return Reply::Missing;
+        return JobReply::NotFound;
     }
     let part = shared.part_of(job);
     let current = known(shared, part, job) || catch_up(shared, part).await;
     if known(shared, part, job) && !is_seen(shared, caller, part, job) {
-        return Reply::Missing;
+        return JobReply::NotFound;
     }
     let ended = {
         let world = shared.world.borrow();
@@ -418,9 +423,9 @@
     match ended {
         None if current => {
             ends::leave(shared, job);
-            Reply::Missing
+            JobReply::NotFound
         }
-        Some(true) => Reply::Done,
+        Some(true) => JobReply::Done,
         known => ends::ask(shared, job, known.is_some()).await,
     }
 }
@@ -451,7 +456,7 @@
         };
         // One target at a time: each failure counts.
         let most = std::mem::replace(&mut route.attempts, 1).max(1);
-        let plain = Plain {
+        let plain = PlainRequest {
             method: http::Method::POST,
             target: scorer.path.clone(),
             host: scorer.host.clone(),
@@ -471,7 +476,7 @@
         tries += 1;
         let mut pause = SCORE_PAUSE;
         match forward::run(&shared, &route, &plain, tries).await {
-            Verdict::Answered(answer) if answer.status.is_success() => {
+            ForwardResult::Answered(answer) if answer.status.is_success() => {
                 let signature = answer.signature(&shared.codec.headers.signature);
                 if let Some(text) = shared.world.borrow_mut().texts.get_mut(&slot) {
                     text.score = signature;
@@ -479,13 +484,13 @@
                 shared.tell(&Event::Scored(slot));
                 return;
             }
-            Verdict::Answered(answer) => {
+            ForwardResult::Answered(answer) => {
                 if answer.status == http::StatusCode::INTERNAL_SERVER_ERROR {
                     failures += 1;
                 }
                 log::debug!("scoring {}/{}: {}", slot.job, slot.at, answer.status);
             }
-            Verdict::Refused(kind, come_back_ms) => {
+            ForwardResult::Refused(kind, come_back_ms) => {
                 log::debug!("scoring {}/{}: {kind:?}", slot.job, slot.at);
                 let come_back = come_back_ms.map_or(SCORE_HELD_PAUSE, Duration::from_millis);
                 pause = match kind {
--- a/crates/hollywell/src/entry/lines.rs
+++ b/crates/hollywell/src/entry/lines.rs
@@ -6,23 +6,23 @@
 /// # Example
 ///
 /// ```
-/// use hollywell::entry::lines::Cutter;
+/// use hollywell::entry::lines::EventSplitter;
 ///
-/// let mut cutter = Cutter::default();
-/// cutter.push(b"id: 1\ndata: a\n");
-/// assert_eq!(cutter.next(), None);
+/// let mut splitter = EventSplitter::default();
+/// splitter.push(b"id: 1\ndata: a\n");
+/// assert_eq!(splitter.next_event(), None);
 /// // The blank line may come in a piece of its own.
-/// cutter.push(b"\nid: 2");
-/// assert_eq!(cutter.next().unwrap(), b"id: 1\ndata: a");
+/// splitter.push(b"\nid: 2");
+/// assert_eq!(splitter.next_event().unwrap(), b"id: 1\ndata: a");
 /// // What is left is an event that was cut short.
-/// assert!(!cutter.is_empty());
+/// assert!(!splitter.is_empty());
 /// ```
 #[derive(Debug, Default)]
-pub struct Cutter {
+pub struct EventSplitter {
     buffer: Vec<u8>,
 }
 
-impl Cutter {
+impl EventSplitter {
     /// Takes bytes in.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
@@ -30,7 +30,7 @@
 
     /// The next whole event, without its blank line.
     #[allow(clippy::should_implement_trait)]
-    pub fn next(&mut self) -> Option<Vec<u8>> {
+    pub fn next_event(&mut self) -> Option<Vec<u8>> {
         let end = self.buffer.windows(2).position(|pair| pair == b"\n\n")?;
         let rest = self.buffer.split_off(end + 2);
         let mut event = std::mem::replace(&mut self.buffer, rest);
--- a/crates/hollywell/src/entry/meters.rs
+++ b/crates/hollywell/src/entry/meters.rs
@@ -22,44 +22,44 @@
     /// Runs that left their target, by why.
     pub moves: IntCounterVec,
     /// Calls of the store, by whether they went well.
-    pub store: IntCounterVec,
+    pub store_calls: IntCounterVec,
     /// Bytes of keys and values appended, by what for.
-    pub stored: IntCounterVec,
+    pub appended_bytes: IntCounterVec,
     /// Appends that failed, by what for and why.
-    pub unstored: IntCounterVec,
+    pub failed_appends: IntCounterVec,
     /// Sends of plain requests that got no answer, by why.
     pub unanswered: IntCounterVec,
     /// Targets that ended while a request of this instance was there.
     pub targets_ended: IntCounter,
     /// Requests that were held back from all targets.
-    pub held: IntCounter,
+    pub held_back: IntCounter,
     /// Records of suspects that could not be read.
     pub suspects_skipped: IntCounter,
     /// Reports of usage, by what they were answered.
     pub reports: IntCounterVec,
     /// The newest window of usage that this instance reported.
-    pub reported: IntGauge,
+    pub reported_window: IntGauge,
     /// Records of usage that could not be understood.
     pub usage_skipped: IntCounter,
     /// Records of the operator that could not be understood.
-    pub plans_skipped: IntCounter,
+    pub commands_skipped: IntCounter,
     /// Requests of callers that are not known, by why.
-    pub strangers: IntCounterVec,
+    pub unauthenticated: IntCounterVec,
     /// Entries of targets that could not be understood.
-    pub entries_skipped: IntCounter,
+    pub announcements_skipped: IntCounter,
     /// Bytes in the store, as far as is known.
-    pub used: IntGauge,
+    pub store_used_bytes: IntGauge,
     /// Jobs rejected for lack of room in the store.
-    pub no_room: IntGauge,
+    pub jobs_without_space: IntGauge,
     /// Jobs accepted here of which nothing was known to have begun in time, by
     /// why.
-    pub unbegun: IntCounterVec,
+    pub unstarted_jobs: IntCounterVec,
     /// Connections opened.
-    pub connections: IntGauge,
+    pub connections_opened: IntGauge,
     /// Runs in flight.
     pub in_flight: IntGauge,
     /// Version of the configuration in force.
-    pub plan: IntGauge,
+    pub configuration_version: IntGauge,
     /// Live instances known.
     pub members: IntGauge,
     /// 1 while the instance takes callers.
@@ -104,13 +104,13 @@
             answer_seconds,
             runs: counter("hollywell_entry_runs_total", "Ends of samples' runs.", &["end"])?,
             moves: counter("hollywell_entry_moves_total", "Runs that left a target.", &["why"])?,
-            store: counter("hollywell_entry_store_total", "Calls of the store.", &["well"])?,
-            stored: counter(
+            store_calls: counter("hollywell_entry_store_total", "Calls of the store.", &["well"])?,
+            appended_bytes: counter(
                 "hollywell_entry_appended_bytes_total",
                 "Bytes of keys and values appended to the store.",
                 &["use"],
             )?,
-            unstored: counter(
+            failed_appends: counter(
                 "hollywell_entry_appends_failed_total",
                 "Appends that failed.",
                 &["use", "why"],
@@ -124,40 +124,55 @@
                 "hollywell_entry_targets_ended_total",
                 "Targets that ended under a request.",
             )?,
-            held: count("hollywell_entry_held_total", "Requests held back, as they end targets.")?,
+            held_back: count(
+                "hollywell_entry_held_total",
+                "Requests held back, as they end targets.",
+            )?,
             suspects_skipped: count(
                 "hollywell_entry_suspects_skipped_total",
                 "Records of suspects not understood.",
             )?,
             reports: counter("hollywell_entry_reports_total", "Reports of usage.", &["answer"])?,
-            reported: gauge("hollywell_entry_reported_window", "Newest window reported here.")?,
+            reported_window: gauge(
+                "hollywell_entry_reported_window",
+                "Newest window reported here.",
+            )?,
             usage_skipped: count(
                 "hollywell_entry_usage_skipped_total",
                 "Records of usage not understood.",
             )?,
-            plans_skipped: count(
+            commands_skipped: count(
                 "hollywell_entry_plans_skipped_total",
                 "Records of the operator not understood.",
             )?,
-            strangers: counter(
+            unauthenticated: counter(
                 "hollywell_entry_strangers_total",
                 "Requests of unknown callers.",
                 &["why"],
             )?,
-            entries_skipped: count(
+            announcements_skipped: count(
                 "hollywell_entry_target_entries_skipped_total",
                 "Entries of targets not understood.",
             )?,
-            used: gauge("hollywell_entry_store_used_bytes", "Bytes in the store, as known.")?,
-            no_room: gauge("hollywell_entry_jobs_without_room", "Jobs rejected for room.")?,
-            unbegun: counter(
+            store_used_bytes: gauge(
+                "hollywell_entry_store_used_bytes",
+                "Bytes in the store, as known.",
+            )?,
+            jobs_without_space: gauge(
+                "hollywell_entry_jobs_without_room",
+                "Jobs rejected for room.",
+            )?,
+            unstarted_jobs: counter(
                 "hollywell_entry_jobs_unbegun_total",
                 "Jobs accepted here that had not begun in time.",
                 &["why"],
             )?,
-            connections: gauge("hollywell_entry_connections_opened", "Connections opened.")?,
+            connections_opened: gauge("hollywell_entry_connections_opened", "Connections opened.")?,
             in_flight: gauge("hollywell_entry_runs_in_flight", "Runs in flight.")?,
-            plan: gauge("hollywell_entry_plan_version", "Configuration in force.")?,
+            configuration_version: gauge(
+                "hollywell_entry_plan_version",
+                "Configuration in force.",
+            )?,
             members: gauge("hollywell_entry_members", "Live instances known.")?,
             ready: gauge("hollywell_entry_ready", "Whether the instance takes callers.")?,
             registry,
--- a/crates/hollywell/src/entry/outbox.rs
+++ b/crates/hollywell/src/entry/outbox.rs
@@ -22,7 +22,7 @@
         room::Use,
     },
     entry::{
-        run::Text,
+        run::GeneratedText,
         shared::{JOBS, Shared, TEXTS},
         store::{Append, Fault, Part},
     },
@@ -123,7 +123,7 @@
     let first = appended?.offset;
     for ((entry, (key, text)), offset) in waiting.iter_mut().zip(keyed).zip(first..) {
         let at = TextRef::new(number(part), offset, key, &text);
-        shared.texts.keep(&at, text);
+        shared.texts.insert(&at, text);
         entry.outcome.text = Some(at);
         entry.text = None;
     }
@@ -211,13 +211,13 @@
             // A text that was begun anew meanwhile has other data, and one
             // that was kept meanwhile, as a stopping instance does beside the
             // regular saves, goes on from there.
-            let same = |text: &&mut Text| {
-                Rc::ptr_eq(&text.identity, &grown.identity) && text.kept == grown.kept
+            let same = |text: &&mut GeneratedText| {
+                Rc::ptr_eq(&text.identity, &grown.identity) && text.stored == grown.kept
             };
             if let Some(text) = text.filter(same) {
-                text.saved = grown.last;
-                text.kept_bytes += grown.piece.len();
-                text.kept = kept;
+                text.saved_event = grown.last;
+                text.stored_bytes += grown.piece.len();
+                text.stored = kept;
             }
         }
     }
@@ -268,14 +268,14 @@
     let mut grown = Vec::new();
     let mut bytes = 0;
     for (slot, text) in &world.texts {
-        if shared.part_of(&slot.job) != part || text.last < text.saved + least {
+        if shared.part_of(&slot.job) != part || text.last_event < text.saved_event + least {
             continue;
         }
         let job = world.shelves[part].book.jobs.get(&slot.job);
         let Some(job) = job.filter(|_| world.wants(part, slot)) else {
             continue;
         };
-        let piece = &text.data.as_bytes()[text.kept_bytes..];
+        let piece = &text.data.as_bytes()[text.stored_bytes..];
         let size = piece.len() + OVERHEAD_BYTES;
         if size > store.record_bytes {
             continue;
@@ -287,9 +287,9 @@
         grown.push(Grown {
             slot: slot.clone(),
             sample: job.head.samples[slot.at].id.clone(),
-            last: text.last,
+            last: text.last_event,
             versions: text.versions.iter().copied().collect(),
-            kept: text.kept.clone(),
+            kept: text.stored.clone(),
             piece: Bytes::copy_from_slice(piece),
             identity: text.identity.clone(),
         });
--- a/crates/hollywell/src/entry/room.rs
+++ b/crates/hollywell/src/entry/room.rs
@@ -78,7 +78,7 @@
     let own = world.shelves.iter().flat_map(|shelf| &shelf.logs).map(|log| log.bytes(most));
     let logs = own.sum::<u64>() + others;
     world.room.seen(now, live, logs, (tokens as f64 * ratio) as u64 + outcomes);
-    shared.meters.used.set(i64::try_from(world.room.used()).unwrap_or(i64::MAX));
+    shared.meters.store_used_bytes.set(i64::try_from(world.room.used()).unwrap_or(i64::MAX));
     ratio
 }
 
--- a/crates/hollywell/src/entry/run.rs
+++ b/crates/hollywell/src/entry/run.rs
@@ -20,7 +20,7 @@
     entry::{
         codec::Chunk,
         exchange::{Error, IncomingResponse},
-        lines::Cutter,
+        lines::EventSplitter,
         samples,
         shared::Shared,
         suspects::{self, Trial},
@@ -33,9 +33,9 @@
 
 /// What has come of a sample's text.
 #[derive(Clone, Debug, Default)]
-pub struct Text {
+pub struct GeneratedText {
     /// Number of the last whole event; 0 before the first.
-    pub last: u64,
+    pub last_event: u64,
     /// The data of all events, separated by line feeds.
     pub data: String,
     /// All versions that generated an event.
@@ -43,22 +43,22 @@
     /// The signature of its score, once there is one.
     pub score: Option<String>,
     /// Number of the last event that the store has.
-    pub saved: u64,
+    pub saved_event: u64,
     /// Where the store has the data up to it, and how many bytes that is.
-    pub kept: Vec<TextRef>,
-    /// See `kept`.
-    pub kept_bytes: usize,
+    pub stored: Vec<TextRef>,
+    /// See `stored`.
+    pub stored_bytes: usize,
     /// Tells this text from another one of the same sample, begun anew.
     pub identity: Rc<()>,
 }
 
-impl Text {
+impl GeneratedText {
     fn take(&mut self, piece: &Chunk, version: u64) {
-        if self.last > 0 {
+        if self.last_event > 0 {
             self.data.push('\n');
         }
         self.data.push_str(&piece.data);
-        self.last = piece.id;
+        self.last_event = piece.id;
         self.versions.insert(version);
     }
 }
@@ -80,7 +80,8 @@
         let shared = shared.clone();
         async move {
             let end = go(&shared, run, &slot, &said, priority).await;
-            let events = || shared.world.borrow().texts.get(&slot).map_or(0, |text| text.last);
+            let events =
+                || shared.world.borrow().texts.get(&slot).map_or(0, |text| text.last_event);
             let (job, at, id) = (&slot.job, slot.at, &said.id);
             log::debug!("sample {job}/{at} at {id}: {end:?}, {} events", events());
             shared.meters.runs.with_label_values(&[&format!("{end:?}")]).inc();
@@ -112,17 +113,17 @@
         return;
     };
     let mut world = shared.world.borrow_mut();
-    let known = world.texts.get(slot).map_or(0, |text| text.last);
+    let known = world.texts.get(slot).map_or(0, |text| text.last_event);
     if partial.last > known {
         // What an earlier job kept goes with that job, and is kept anew.
         let own = partial.is_of(&slot.job);
-        let text = Text {
-            last: partial.last,
+        let text = GeneratedText {
+            last_event: partial.last,
             versions: partial.versions.into_iter().collect(),
             score: None,
-            saved: if own { partial.last } else { 0 },
-            kept_bytes: if own { data.len() } else { 0 },
-            kept: if own { partial.texts } else { vec![] },
+            saved_event: if own { partial.last } else { 0 },
+            stored_bytes: if own { data.len() } else { 0 },
+            stored: if own { partial.texts } else { vec![] },
             data,
             identity: Rc::default(),
         };
@@ -135,7 +136,7 @@
     let world = shared.world.borrow();
     let job = world.shelves[part].book.jobs.get(&slot.job)?;
     let partial = job.partials.get(&slot.at)?;
-    let known = world.texts.get(slot).map_or(0, |text| text.last);
+    let known = world.texts.get(slot).map_or(0, |text| text.last_event);
     let allowed = partial.is_allowed(job.head.min_version);
     (partial.last > known && allowed).then(|| partial.clone())
 }
@@ -162,10 +163,10 @@
         Verdict::Held(_) => true,
     };
     if held {
-        shared.meters.held.inc();
+        shared.meters.held_back.inc();
         return End::Held;
     }
-    let last_event = || shared.world.borrow().texts.get(slot).map_or(0, |text| text.last);
+    let last_event = || shared.world.borrow().texts.get(slot).map_or(0, |text| text.last_event);
     let before = last_event();
     let end = exchange(shared, run, slot, target, digest, request).await;
     // A sample that has got further is none that ends its targets.
@@ -242,7 +243,7 @@
     for header in &sample.headers {
         request = request.header(header.name.as_str(), header.value.as_str());
     }
-    let last = world.texts.get(slot).map_or(0, |text| text.last);
+    let last = world.texts.get(slot).map_or(0, |text| text.last_event);
     if last > 0 {
         request = request.header(&headers.last_event, HeaderValue::from(last));
     }
@@ -294,8 +295,8 @@
         {
             let mut world = self.shared.world.borrow_mut();
             let text = world.texts.entry(self.slot.clone()).or_default();
-            if piece.id != text.last + 1 {
-                return Err(self.broken(&format!("event {} after {}", piece.id, text.last)));
+            if piece.id != text.last_event + 1 {
+                return Err(self.broken(&format!("event {} after {}", piece.id, text.last_event)));
             }
             text.take(&piece, version);
         }
@@ -344,14 +345,14 @@
         return Err(End::WrongVersion);
     }
     context.shared.tell(&Event::Head { run: context.run });
-    let mut cutter = Cutter::default();
+    let mut splitter = EventSplitter::default();
     while let Some(data) = answer.chunk().await.map_err(|error| context.broken(&error))? {
-        cutter.push(&data);
-        while let Some(event) = cutter.next() {
+        splitter.push(&data);
+        while let Some(event) = splitter.next_event() {
             context.take(&event, &mut version)?;
         }
     }
-    if !cutter.is_empty() {
+    if !splitter.is_empty() {
         return Err(context.broken(&"ends within an event"));
     }
     let world = context.shared.world.borrow();
--- a/crates/hollywell/src/entry/serve.rs
+++ b/crates/hollywell/src/entry/serve.rs
@@ -38,7 +38,7 @@
         shared::{JOB_PARTS, Shared, Shelf, World},
         store::Client,
         suspects,
-        texts::Texts,
+        texts::TextCache,
         usage,
     },
 };
@@ -139,7 +139,7 @@
         readers: (0..parts).map(|_| Cell::new(0)).collect(),
         listed: (0..parts).map(|_| Notify::new()).collect(),
         outbox: (0..parts).map(|_| outbox::Outbox::default()).collect(),
-        texts: Texts::default(),
+        texts: TextCache::default(),
         turns: RefCell::default(),
         usage: usage::Usage::default(),
         unsaved: suspects::Unsaved::default(),
@@ -161,7 +161,7 @@
     let metrics = TcpListener::bind(settings.metrics_listen).await?;
     let peer_listener = TcpListener::bind(settings.peer_listen).await?;
     log::info!("{} listens on {}, settings {}", shared.me, settings.listen, path.display());
-    let open = Rc::new(ingress::Open::default());
+    let open = Rc::new(ingress::OpenRequests::default());
     let spawn = tokio::task::spawn_local::<std::pin::Pin<Box<dyn Future<Output = ()>>>>;
     // In the order in which they are read from the store at a start: what is
     // small and needed for every request before the jobs.
@@ -194,7 +194,7 @@
     Ok(())
 }
 
-async fn stop(shared: &Rc<Shared>, open: &ingress::Open) {
+async fn stop(shared: &Rc<Shared>, open: &ingress::OpenRequests) {
     log::info!("stopping: {} requests open", open.count());
     let end = tokio::time::Instant::now() + shared.settings.times.grace.mul_f64(GRACE_SHARE);
     {
--- a/crates/hollywell/src/entry/settings.rs
+++ b/crates/hollywell/src/entry/settings.rs
@@ -81,7 +81,7 @@
     /// A job's results are kept for so long after its submission.
     pub status: Duration,
     /// Time between two entries of a target.
-    pub beat: Duration,
+    pub heartbeat: Duration,
     /// A configuration is in force everywhere so long after its
     /// acknowledgement.
     pub config_apply: Duration,
@@ -172,7 +172,7 @@
             grace: reader.time(times, "grace_s", SECOND, 8.0, 0.1..=MOST_S),
             lease: reader.time(times, "lease_ms", MILLISECOND, 3_000.0, 100.0..=MOST_MS),
             status: reader.time(times, "status_s", SECOND, 120.0, 0.1..=MOST_S),
-            beat: reader.time(times, "beat_ms", MILLISECOND, 1_200.0, 1.0..=MOST_MS),
+            heartbeat: reader.time(times, "beat_ms", MILLISECOND, 1_200.0, 1.0..=MOST_MS),
             config_apply: reader.time(
                 times,
                 "config_apply_ms",
--- a/crates/hollywell/src/entry/shared.rs
+++ b/crates/hollywell/src/entry/shared.rs
@@ -43,11 +43,11 @@
         reader::Reader,
         relay::Relay,
         resume, run,
-        run::Text,
+        run::GeneratedText,
         settings::Settings,
         store::{Append, Appended, Client, Fault, Part, Records},
         suspects,
-        texts::Texts,
+        texts::TextCache,
         usage,
     },
 };
@@ -136,7 +136,7 @@
     /// Newest weights of each model, and how much of it is asked for.
     pub models: Models,
     /// Text of samples that are not listed.
-    pub texts: HashMap<Slot, Text>,
+    pub texts: HashMap<Slot, GeneratedText>,
     /// Bundles of samples that this instance runs.
     pub bundles: HashMap<(String, usize), Rc<Bundle>>,
     /// Runs in flight.
@@ -234,7 +234,7 @@
     /// Results on their way to the store, by partition.
     pub outbox: Vec<outbox::Outbox>,
     /// Whole texts that were read or written lately.
-    pub texts: Texts,
+    pub texts: TextCache,
     /// What is known against requests and not in the store yet.
     pub unsaved: suspects::Unsaved,
     /// Turns to try suspects that this instance gives out.
@@ -270,7 +270,7 @@
 
     /// Notes whether a call of the store went well.
     pub fn store_did(&self, well: bool) {
-        self.meters.store.with_label_values(&[if well { "yes" } else { "no" }]).inc();
+        self.meters.store_calls.with_label_values(&[if well { "yes" } else { "no" }]).inc();
         let now = self.now();
         let mut world = self.world.borrow_mut();
         if well {
@@ -302,7 +302,7 @@
         let stored = append.stored();
         let allowed = self.world.borrow().room.allows(self.now(), append.purpose, stored);
         if !allowed {
-            self.meters.unstored.with_label_values(&[purpose, "kept_back"]).inc();
+            self.meters.failed_appends.with_label_values(&[purpose, "kept_back"]).inc();
             return Err(Fault::Full);
         }
         let appended = (self.store.append)(append).await;
@@ -312,14 +312,14 @@
             Ok(_) => {
                 self.world.borrow_mut().room.appended(stored);
                 let bytes = u64::try_from(bytes).unwrap_or(u64::MAX);
-                self.meters.stored.with_label_values(&[purpose]).inc_by(bytes);
+                self.meters.appended_bytes.with_label_values(&[purpose]).inc_by(bytes);
             }
             Err(fault) => {
                 if *fault == Fault::Full {
                     let now = self.now();
                     self.world.borrow_mut().room.refused(now);
                 }
-                self.meters.unstored.with_label_values(&[purpose, fault.as_str()]).inc();
+                self.meters.failed_appends.with_label_values(&[purpose, fault.as_str()]).inc();
             }
         }
         appended
@@ -474,7 +474,7 @@
     fn grown(self: &Rc<Shared>, part: usize, slot: Slot) {
         let kept = {
             let world = self.world.borrow();
-            let Some(own) = world.texts.get(&slot).map(|text| text.last) else {
+            let Some(own) = world.texts.get(&slot).map(|text| text.last_event) else {
                 return;
             };
             let job = world.shelves[part].book.jobs.get(&slot.job);
--- a/crates/hollywell/src/entry/texts.rs
+++ b/crates/hollywell/src/entry/texts.rs
@@ -32,23 +32,23 @@
 /// # Example
 ///
 /// ```
-/// use hollywell::{core::batch::TextRef, entry::texts::Texts};
+/// use hollywell::{core::batch::TextRef, entry::texts::TextCache};
 ///
 /// let text = |key: &str| TextRef { part: 0, offset: 7, key: key.into(), len: 1 };
-/// let texts = Texts::default();
-/// texts.keep(&text("a"), "A".into());
+/// let texts = TextCache::default();
+/// texts.insert(&text("a"), "A".into());
 /// assert_eq!(texts.get(&text("a")).unwrap(), "A");
 /// // The same offset with another key is another partition's text.
 /// assert!(texts.get(&text("b")).is_none());
 /// ```
 #[derive(Debug, Default)]
-pub struct Texts {
+pub struct TextCache {
     kept: RefCell<VecDeque<(TextRef, Bytes)>>,
 }
 
-impl Texts {
+impl TextCache {
     /// Keeps a text, and lets the oldest go.
-    pub fn keep(&self, at: &TextRef, text: Bytes) {
+    pub fn insert(&self, at: &TextRef, text: Bytes) {
         let mut kept = self.kept.borrow_mut();
         kept.push_back((at.clone(), text));
         let mut bytes: usize = kept.iter().map(|(_, text)| text.len()).sum();
@@ -112,7 +112,7 @@
         if let (Some(at), Some(value)) = (wanted.iter().find(is_wanted), record.value) {
             // A copy: the record is a part of the whole read.
             let text = Bytes::copy_from_slice(&value);
-            shared.texts.keep(at, text.clone());
+            shared.texts.insert(at, text.clone());
             found.insert(record.offset, text);
         }
     }
--- a/crates/hollywell/src/entry/unstarted.rs
+++ b/crates/hollywell/src/entry/unstarted.rs
@@ -16,32 +16,32 @@
 /// Looks after that, each as long after the one before.
 const LOOKS: u32 = 4;
 
-/// Why nothing of a job is known to have begun.
+/// Reason nothing of a job is known to have begun.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Why {
+enum Reason {
     /// Its own acceptance was not read here.
     Unread,
     /// What is known of its partition is out of date.
     Stale,
     /// No instance is known, so that nobody owns anything.
-    Alone,
+    NoInstances,
     /// Its route is in no configuration that is known here.
     Unrouted,
     /// No target may take its samples.
     NoTarget,
     /// Its owners have not begun.
-    Waits,
+    OwnerIdle,
 }
 
-impl Why {
+impl Reason {
     const fn as_str(self) -> &'static str {
         match self {
-            Why::Unread => "unread",
-            Why::Stale => "stale",
-            Why::Alone => "alone",
-            Why::Unrouted => "unrouted",
-            Why::NoTarget => "no_target",
-            Why::Waits => "waits",
+            Reason::Unread => "unread",
+            Reason::Stale => "stale",
+            Reason::NoInstances => "alone",
+            Reason::Unrouted => "unrouted",
+            Reason::NoTarget => "no_target",
+            Reason::OwnerIdle => "waits",
         }
     }
 }
@@ -52,21 +52,21 @@
     for _ in 0..LOOKS {
         sleep(WITHIN).await;
         since += WITHIN;
-        let Some(why) = unbegun(&shared, part, &job) else {
+        let Some(why) = unstarted(&shared, part, &job) else {
             return;
         };
-        shared.meters.unbegun.with_label_values(&[why.as_str()]).inc();
+        shared.meters.unstarted_jobs.with_label_values(&[why.as_str()]).inc();
         log::warn!("job {job}: nothing has begun {since:?} after its acceptance: {}", why.as_str());
     }
 }
 
-/// Why nothing of a job has begun; `None` if something has, or it was ended.
-fn unbegun(shared: &Shared, part: usize, id: &str) -> Option<Why> {
+/// Reason nothing of a job has begun; `None` if something has, or it was ended.
+fn unstarted(shared: &Shared, part: usize, id: &str) -> Option<Reason> {
     let now = shared.now();
     let world = shared.world.borrow();
     let shelf = &world.shelves[part];
     let Some(job) = shelf.book.jobs.get(id) else {
-        return (!world.ending.holds(id)).then_some(Why::Unread);
+        return (!world.ending.holds(id)).then_some(Reason::Unread);
     };
     let is_here = world.texts.keys().any(|slot| slot.job == id);
     if job.ended || is_here || !job.listed.is_empty() || !job.partials.is_empty() {
@@ -76,15 +76,15 @@
     let route = plan.and_then(|plan| plan.route(&job.head.host, &job.head.path));
     let pool = route.and_then(|route| route.pools.first());
     let Some((pool, _)) = pool else {
-        return Some(Why::Unrouted);
+        return Some(Reason::Unrouted);
     };
     if world.is_stale(now, part) {
-        return Some(Why::Stale);
+        return Some(Reason::Stale);
     }
     if world.roster.members().is_empty() {
-        return Some(Why::Alone);
+        return Some(Reason::NoInstances);
     }
     let fits = |target: &Target| target.may_run(&job.head.model, job.head.min_version);
     let is_served = world.fleet.usable(pool).any(fits);
-    Some(if is_served { Why::Waits } else { Why::NoTarget })
+    Some(if is_served { Reason::OwnerIdle } else { Reason::NoTarget })
 }
