--- a/crates/hollywell/src/entry/feed.rs
+++ b/crates/hollywell/src/entry/feed.rs
@@ -133,7 +133,7 @@
             self.said.remove(&record.key);
             return true;
         };
-        let Ok(said) = (shared.dialect.announcement)(&record.key, value) else {
+        let Ok(said) = (shared.codec.announcement)(&record.key, value) else {
             return true;
         };
         let said = Announcement { beats: 0, ..said };
@@ -236,7 +236,7 @@
     let demand = relay::Demand {
         instances: world.roster.members().len(),
         targets: world.fleet.targets.len(),
-        beat_ms: u64::try_from(shared.settings.times.beat.as_millis()).unwrap_or(u64::MAX),
+        beat_ms: u64::try_from(shared.settings.times.heartbeat.as_millis()).unwrap_or(u64::MAX),
     };
     // How many read it is not known where not all show.
     world.census.is_full() || relay::is_crowded(shared.settings.store.supply, demand)
@@ -279,7 +279,7 @@
         }
     }
     let mut log = Log { first: newest.end, end: newest.end, ..Log::default() };
-    if part.topic == shared.dialect.announcements {
+    if part.topic == shared.codec.announcements {
         log.newest = Some(HashMap::new());
         for record in &newest.records {
             log.is_news(shared, record);
@@ -298,7 +298,7 @@
         *log = Log { first: from, end: from, ..Log::default() };
     }
     for record in &read.records {
-        let is_entry = part.topic == shared.dialect.announcements;
+        let is_entry = part.topic == shared.codec.announcements;
         log.renew(record);
         if !is_entry || log.is_news(shared, record) {
             log.push(record);
@@ -360,7 +360,7 @@
     let path = format!("{PATH}{}/{}/{from}", part.topic, part.number);
     let answer = peers::get(shared, source, &path, SILENCE).await?;
     let status = answer.head.status;
-    let body = answer.whole_unless_silent(ANSWER_BYTES, SILENCE).await;
+    let body = answer.read_body_with_idle_timeout(ANSWER_BYTES, SILENCE).await;
     let body = body.map_err(|error| error.to_string())?;
     match status {
         StatusCode::OK => {}
