--- a/crates/hollywell/src/lib.rs
+++ b/crates/hollywell/src/lib.rs
@@ -74,7 +74,7 @@
 pub mod peer;
 pub mod platform;
 pub mod prelude;
-pub mod pulse;
+pub mod watchdog;
 pub mod report;
 pub mod serve;
 pub mod service;
--- a/crates/hollywell/src/serve.rs
+++ b/crates/hollywell/src/serve.rs
@@ -12,7 +12,7 @@
     core::event::Event,
     metrics::Metrics,
     peer, platform,
-    pulse::Pulse,
+    watchdog::Watchdog,
     settings::Settings,
     traffic::{executor::Executor, server::Server},
 };
@@ -74,13 +74,13 @@
             let _ended = peer_stop.wait_for(|stop| *stop).await;
         },
     ));
-    let pulse = Pulse::new(clock.now());
-    tokio::spawn(pulse.clone().keep(clock));
+    let watchdog = Watchdog::new(clock.now());
+    tokio::spawn(watchdog.clone().run(clock));
     let server = Server {
         control: control.clone(),
         clock,
         registry,
-        pulse,
+        watchdog,
         limits: settings.limits,
         metrics,
     };
--- a/crates/hollywell/src/traffic/calls.rs
+++ b/crates/hollywell/src/traffic/calls.rs
@@ -30,7 +30,7 @@
     pool: &str,
     arrived: Time,
 ) -> Response<Body> {
-    let earliest = server.pulse.arrival(arrived);
+    let earliest = server.watchdog.earliest_arrival(arrived);
     let (head, body) = request.into_parts();
     let read = server.read_body(body).await;
     let prepared = read.and_then(|body| {
--- a/crates/hollywell/src/traffic/server.rs
+++ b/crates/hollywell/src/traffic/server.rs
@@ -21,7 +21,7 @@
 
 use super::{admin, calls, registry::Registry, steps};
 use crate::{
-    clock::Clock, control::Handle, error::Kind, metrics::Metrics, pulse::Pulse, settings::Limits,
+    clock::Clock, control::Handle, error::Kind, metrics::Metrics, watchdog::Watchdog, settings::Limits,
 };
 
 /// The body of every answer.
@@ -45,7 +45,7 @@
     /// The bytes held.
     pub registry: Registry,
     /// Whether the process was paused.
-    pub pulse: Pulse,
+    pub watchdog: Watchdog,
     /// What one caller can take up.
     pub limits: Limits,
     /// Counts.
--- a/crates/hollywell/tests/server.rs
+++ b/crates/hollywell/tests/server.rs
@@ -13,7 +13,7 @@
         reducer::Config,
     },
     metrics::Metrics,
-    pulse::Pulse,
+    watchdog::Watchdog,
     settings::{Limits, Platform},
     traffic::{executor::Executor, server::Server},
 };
@@ -59,9 +59,9 @@
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port is free");
     let address = listener.local_addr().expect("it is bound");
     let (stop, stopping) = watch::channel(false);
-    let pulse = Pulse::new(clock.now());
-    tokio::spawn(pulse.clone().keep(clock));
-    let server = Server { control: control.clone(), clock, registry, pulse, limits, metrics };
+    let watchdog = Watchdog::new(clock.now());
+    tokio::spawn(watchdog.clone().run(clock));
+    let server = Server { control: control.clone(), clock, registry, watchdog, limits, metrics };
     tokio::spawn(server.serve(listener, stopping));
     control.tell(Event::Listed(targets().await)).await;
     Running { address, stop }
