--- a/crates/hollywell/src/cli/ask.rs
+++ b/crates/hollywell/src/cli/ask.rs
@@ -12,7 +12,7 @@
 /// Longest time for one question.
 const TIMEOUT: Duration = Duration::from_secs(10);
 /// Largest answer, in bytes.
-const MOST_BYTES: usize = 64 << 20;
+const MAX_RESPONSE_BYTES: usize = 64 << 20;
 
 /// The argument that names the instance to ask.
 pub(super) fn at_arg() -> Arg {
@@ -24,24 +24,24 @@
 }
 
 /// Asks the instance that the arguments name.
-pub(super) struct Asker {
+pub(super) struct AdminClient {
     runtime: tokio::runtime::Runtime,
     client: Client,
     address: String,
 }
 
-impl Asker {
-    pub(super) fn new(args: &ArgMatches) -> Result<Asker, Failure> {
+impl AdminClient {
+    pub(super) fn new(args: &ArgMatches) -> Result<AdminClient, Failure> {
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_all()
             .build()
             .map_err(Failure::run)?;
         let address = args.get_one::<String>("at").cloned().unwrap_or_default();
-        Ok(Asker { runtime, client: Client::new(), address })
+        Ok(AdminClient { runtime, client: Client::new(), address })
     }
 
     pub(super) fn get(&self, path: &str) -> Result<Response<Bytes>, Failure> {
-        let asked = self.client.get(&self.address, path, MOST_BYTES, TIMEOUT);
+        let asked = self.client.get(&self.address, path, MAX_RESPONSE_BYTES, TIMEOUT);
         self.runtime.block_on(asked).map_err(|error| self.failure(&error))
     }
 
@@ -51,7 +51,7 @@
         body: &impl serde::Serialize,
     ) -> Result<Response<Bytes>, Failure> {
         let body = serde_json::to_vec(body).map_err(Failure::run)?;
-        let asked = self.client.post(&self.address, path, body, MOST_BYTES, TIMEOUT);
+        let asked = self.client.post(&self.address, path, body, MAX_RESPONSE_BYTES, TIMEOUT);
         self.runtime.block_on(asked).map_err(|error| self.failure(&error))
     }
 
--- a/crates/hollywell/src/cli/report.rs
+++ b/crates/hollywell/src/cli/report.rs
@@ -12,7 +12,7 @@
 
 use super::{
     Failure,
-    ask::{Asker, at_arg},
+    ask::{AdminClient, at_arg},
 };
 use crate::report::{burns, page, scrape::Scrape, steps, traced};
 
@@ -96,13 +96,13 @@
     let into = args.get_one::<PathBuf>("into").cloned().unwrap_or_default();
     let number = |name: &str| args.get_one::<u64>(name).copied().unwrap_or(1);
     fs::create_dir_all(&into).map_err(Failure::run)?;
-    let asker = Asker::new(args)?;
-    let instance = asker.view()?.instance.name;
+    let admin = AdminClient::new(args)?;
+    let instance = admin.view()?.instance.name;
     for scrape in 0..number("times") {
         if scrape > 0 {
             sleep(Duration::from_secs(number("every-s")));
         }
-        let metrics = asker.get("/metrics")?;
+        let metrics = admin.get("/metrics")?;
         let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let path = Scrape::path(&into, since.as_secs(), &instance);
         fs::write(&path, metrics.body()).map_err(Failure::run)?;
--- a/crates/hollywell/src/cli/status.rs
+++ b/crates/hollywell/src/cli/status.rs
@@ -4,7 +4,7 @@
 
 use super::{
     Failure,
-    ask::{Asker, at_arg},
+    ask::{AdminClient, at_arg},
 };
 use crate::view::View;
 
@@ -21,7 +21,7 @@
 }
 
 pub(super) fn run(args: &ArgMatches) -> Result<(), Failure> {
-    let view = Asker::new(args)?.view()?;
+    let view = AdminClient::new(args)?.view()?;
     if args.get_flag("json") {
         println!("{}", serde_json::to_string(&view).map_err(Failure::run)?);
     } else {
--- a/crates/hollywell/src/cli/table.rs
+++ b/crates/hollywell/src/cli/table.rs
@@ -15,7 +15,7 @@
 
 use super::{
     Failure,
-    ask::{Asker, at_arg},
+    ask::{AdminClient, at_arg},
 };
 use crate::{
     core::table::{Edit, Outcome, Row},
@@ -83,9 +83,9 @@
 
 pub(super) fn run(args: &ArgMatches) -> Result<(), Failure> {
     match args.subcommand() {
-        Some(("show", args)) => show(&Asker::new(args)?.view()?),
-        Some(("export", args)) => export(&Asker::new(args)?.view()?)?,
-        Some(("history", args)) => history(&Asker::new(args)?.view()?),
+        Some(("show", args)) => show(&AdminClient::new(args)?.view()?),
+        Some(("export", args)) => export(&AdminClient::new(args)?.view()?)?,
+        Some(("history", args)) => history(&AdminClient::new(args)?.view()?),
         Some(("import", args)) => import(args)?,
         Some(("edit", args)) => edit(args)?,
         _ => return Err(Failure::Input(String::from("no subcommand; see --help"))),
@@ -214,21 +214,21 @@
         parse_csv(file)
     };
     let rows = rows.map_err(|fault| Failure::Input(format!("{}: {fault}", path.display())))?;
-    let asker = Asker::new(args)?;
-    let view = asker.view()?;
+    let admin = AdminClient::new(args)?;
+    let view = admin.view()?;
     let current: BTreeMap<&str, &Row> =
         view.table.iter().map(|row| (row.row.trainer.as_str(), &row.row)).collect();
     let changed = rows.iter().filter(|(row, _)| current.get(row.trainer.as_str()) != Some(&row));
     let mut last = None;
     for (row, revision) in changed {
-        last = last.max(Some(submit(args, &asker, &row.trainer, Some(row.clone()), *revision)?));
+        last = last.max(Some(submit(args, &admin, &row.trainer, Some(row.clone()), *revision)?));
     }
-    wait_if_asked(args, &asker, last)
+    wait_if_asked(args, &admin, last)
 }
 
 fn edit(args: &ArgMatches) -> Result<(), Failure> {
-    let asker = Asker::new(args)?;
-    let view = asker.view()?;
+    let admin = AdminClient::new(args)?;
+    let view = admin.view()?;
     let trainer = args.get_one::<String>("trainer").cloned().unwrap_or_default();
     let current = view.table.iter().find(|row| row.row.trainer == trainer);
     let base = current.map(|row| row.revision);
@@ -236,8 +236,8 @@
         true => None,
         false => Some(edited(args, &trainer, current.map(|row| &row.row))?),
     };
-    let revision = submit(args, &asker, &trainer, row, base)?;
-    wait_if_asked(args, &asker, Some(revision))
+    let revision = submit(args, &admin, &trainer, row, base)?;
+    wait_if_asked(args, &admin, Some(revision))
 }
 
 fn edited(args: &ArgMatches, trainer: &str, current: Option<&Row>) -> Result<Row, Failure> {
@@ -262,7 +262,7 @@
 /// Submits one edit and returns the row's new revision.
 fn submit(
     args: &ArgMatches,
-    asker: &Asker,
+    admin: &AdminClient,
     trainer: &str,
     row: Option<Row>,
     base: Option<u64>,
@@ -271,7 +271,7 @@
     let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     let id = format!("{by}-{}-{}-{trainer}", std::process::id(), since.as_nanos());
     let edit = Edit { id: id.clone(), by, trainer: trainer.to_owned(), base, row };
-    let answer = asker.post("/admin/edits", &edit)?;
+    let answer = admin.post("/admin/edits", &edit)?;
     let outcome = serde_json::from_slice::<Outcome>(answer.body());
     match (answer.status(), outcome) {
         (StatusCode::OK, Ok(Outcome::Accepted { revision })) => {
@@ -291,13 +291,17 @@
 }
 
 /// Waits until every live instance has folded past `revision`.
-fn wait_if_asked(args: &ArgMatches, asker: &Asker, revision: Option<u64>) -> Result<(), Failure> {
+fn wait_if_asked(
+    args: &ArgMatches,
+    admin: &AdminClient,
+    revision: Option<u64>,
+) -> Result<(), Failure> {
     let Some(revision) = revision.filter(|_| args.get_flag("wait")) else {
         return Ok(());
     };
     let deadline = Instant::now() + WAIT;
     loop {
-        let view = asker.view()?;
+        let view = admin.view()?;
         let behind: Vec<&str> = view
             .peers
             .iter()
--- a/crates/hollywell/src/control.rs
+++ b/crates/hollywell/src/control.rs
@@ -37,7 +37,7 @@
 
 /// The queue was full, or the control thread has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Busy;
+pub struct QueueFull;
 
 /// Where traffic hands its events in.
 #[derive(Clone, Debug)]
@@ -51,14 +51,14 @@
     ///
     /// # Errors
     ///
-    /// [`Busy`] if there is none; the caller refuses what it stands for.
-    pub fn offer(&self, event: Event) -> Result<(), Busy> {
-        self.events.try_send(event).map_err(|_| Busy)
+    /// [`QueueFull`] if there is none; the caller refuses what it stands for.
+    pub fn try_send(&self, event: Event) -> Result<(), QueueFull> {
+        self.events.try_send(event).map_err(|_| QueueFull)
     }
 
     /// Hands an event in, waiting for room: for events that must not be
     /// lost, such as the end of an attempt.
-    pub async fn tell(&self, event: Event) {
+    pub async fn send(&self, event: Event) {
         // A closed queue means that the process ends; nobody is left to tell.
         let _closed = self.events.send(event).await;
     }
--- a/crates/hollywell/src/engine.rs
+++ b/crates/hollywell/src/engine.rs
@@ -18,15 +18,15 @@
 /// Longest time for an engine to answer an order.
 const ORDER_TIMEOUT: Duration = Duration::from_secs(2);
 /// Largest answer to an order, in bytes.
-const MOST_ORDER_BYTES: usize = 64 << 10;
+const MAX_ORDER_BYTES: usize = 64 << 10;
 /// Largest part of a stream without an end of event, in bytes.
-const MOST_EVENT_BYTES: usize = 1 << 20;
+const MAX_EVENT_BYTES: usize = 1 << 20;
 /// Largest sample, in bytes.
-const MOST_SAMPLE_BYTES: usize = 16 << 20;
+const MAX_SAMPLE_BYTES: usize = 16 << 20;
 
 /// What an engine is asked, besides the prompt.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Ask {
+pub struct GenerateRequest {
     /// The attempt.
     pub dispatch: Dispatch,
     /// The engine's address.
@@ -69,7 +69,7 @@
 /// text that named no version.
 pub async fn generate(
     client: &Client,
-    ask: &Ask,
+    generate: &GenerateRequest,
     trainer: &str,
     prompt: &Prompt,
     timeout: Duration,
@@ -78,10 +78,10 @@
         "model": trainer,
         "prompt": prompt.text,
         "max_tokens": prompt.max_tokens,
-        "priority": ask.priority,
+        "priority": generate.priority,
         "stream": true,
     });
-    let builder = Request::post(uri(&ask.address, "/v1/completions"))
+    let builder = Request::post(uri(&generate.address, "/v1/completions"))
         .header("content-type", "application/json");
     let request = build(builder, Bytes::from(body.to_string())).map_err(|_| End::Refused)?;
     let exchange = async {
@@ -147,7 +147,7 @@
             let line = std::str::from_utf8(&line).map_err(|_| End::Broken)?;
             self.take_line(line.trim_end())?;
         }
-        match self.pending.len() > MOST_EVENT_BYTES {
+        match self.pending.len() > MAX_EVENT_BYTES {
             true => Err(End::Broken),
             false => Ok(()),
         }
@@ -174,7 +174,7 @@
                 self.sample.versions.push(version);
             }
         }
-        match self.sample.text.len() > MOST_SAMPLE_BYTES {
+        match self.sample.text.len() > MAX_SAMPLE_BYTES {
             true => Err(End::Broken),
             false => Ok(()),
         }
@@ -198,7 +198,7 @@
     let Ok(body) = serde_json::to_vec(order) else {
         return false;
     };
-    let answer = client.post(address, "/orders", body, MOST_ORDER_BYTES, ORDER_TIMEOUT).await;
+    let answer = client.post(address, "/orders", body, MAX_ORDER_BYTES, ORDER_TIMEOUT).await;
     match answer {
         Ok(answer) if answer.status().is_success() => true,
         Ok(answer) => {
--- a/crates/hollywell/src/metrics.rs
+++ b/crates/hollywell/src/metrics.rs
@@ -113,7 +113,7 @@
 
     /// Times one step of the reducer.
     pub fn step(&self, event: &Event, took: Duration) {
-        self.step_seconds.with_label_values(&[name_of(event)]).observe(took.as_secs_f64());
+        self.step_seconds.with_label_values(&[event_name(event)]).observe(took.as_secs_f64());
     }
 
     /// Counts what callers cannot see.
@@ -142,7 +142,7 @@
 
 /// An event's name in metrics and benches.
 #[must_use]
-pub const fn name_of(event: &Event) -> &'static str {
+pub const fn event_name(event: &Event) -> &'static str {
     match event {
         Event::Tick => "tick",
         Event::Listed(_) => "listed",
--- a/crates/hollywell/src/peer/mod.rs
+++ b/crates/hollywell/src/peer/mod.rs
@@ -19,7 +19,7 @@
         event::{Forward, ForwardResult, Message},
         id::Instance,
     },
-    traffic::registry::{Answer, Sent},
+    traffic::registry::{BufferedRequest, BufferedResponse},
 };
 
 // As the generator wrote it, so that CI can tell whether it is current.
@@ -83,9 +83,9 @@
         &self,
         address: &str,
         forward: &Forward,
-        sent: &Sent,
+        sent: &BufferedRequest,
         timeout: Duration,
-    ) -> Option<(ForwardResult, Option<Answer>)> {
+    ) -> Option<(ForwardResult, Option<BufferedResponse>)> {
         let request = ForwardRequest {
             name: forward.owner.name.clone(),
             incarnation: forward.owner.incarnation,
@@ -102,7 +102,7 @@
         let result: ForwardResult = serde_json::from_slice(&reply.result).ok()?;
         let answer = match result.refused {
             Some(_) => None,
-            None => Some(Answer {
+            None => Some(BufferedResponse {
                 status: u16::try_from(reply.status).ok()?,
                 headers: from_wire(&reply.headers),
                 body: Bytes::from(reply.body),
--- a/crates/hollywell/src/peer/server.rs
+++ b/crates/hollywell/src/peer/server.rs
@@ -22,7 +22,7 @@
         id::Instance,
     },
     error::Kind,
-    traffic::registry::{Registry, Replied, Sent},
+    traffic::registry::{BufferedRequest, Registry, RequestOutcome},
 };
 
 struct Service {
@@ -65,7 +65,7 @@
             .map_err(|error| Status::invalid_argument(format!("not a message: {error}")))?;
         let from = Instance::new(&packet.name, packet.incarnation);
         let event = Event::Peer { from, message };
-        self.control.offer(event).map_err(|_| Status::resource_exhausted("queue is full"))?;
+        self.control.try_send(event).map_err(|_| Status::resource_exhausted("queue is full"))?;
         Ok(Response::new(Ack {}))
     }
 
@@ -78,35 +78,35 @@
             .map_err(|error| Status::invalid_argument(format!("not a forward: {error}")))?;
         let method = Method::from_bytes(request.method.as_bytes())
             .map_err(|error| Status::invalid_argument(format!("not a method: {error}")))?;
-        let sent = Sent {
+        let buffered = BufferedRequest {
             method,
             path: request.path,
             headers: from_wire(&request.headers),
             body: request.body.into(),
         };
-        let (number, reply) = self.registry.open(sent);
+        let (number, outcome) = self.registry.register(buffered);
         let event = Event::Forwarded { request: number, forward };
-        if self.control.offer(event).is_err() {
-            self.registry.close(number);
+        if self.control.try_send(event).is_err() {
+            self.registry.discard(number);
             return Err(Status::resource_exhausted("queue is full"));
         }
-        let replied = reply.await.map_err(|_| Status::aborted("the instance stops"))?;
-        Ok(Response::new(to_reply(replied)))
+        let outcome = outcome.await.map_err(|_| Status::aborted("the instance stops"))?;
+        Ok(Response::new(to_reply(outcome)))
     }
 }
 
-fn to_reply(replied: Replied) -> ForwardReply {
-    let (refused, reading, answer) = match replied {
-        Replied::Answer { answer, reading } => (None, reading, Some(answer)),
-        Replied::Refused { kind, reading } => (Some(kind), reading, None),
-        Replied::Edited(_) => (Some(Kind::Internal), None, None),
+fn to_reply(outcome: RequestOutcome) -> ForwardReply {
+    let (refused, reading, response) = match outcome {
+        RequestOutcome::Response { response, reading } => (None, reading, Some(response)),
+        RequestOutcome::Refused { kind, reading } => (Some(kind), reading, None),
+        RequestOutcome::Edited(_) => (Some(Kind::Internal), None, None),
     };
     let result = serde_json::to_vec(&ForwardResult { refused, reading }).unwrap_or_default();
-    let answer = answer.unwrap_or_default();
+    let response = response.unwrap_or_default();
     ForwardReply {
         result,
-        status: u32::from(answer.status),
-        headers: to_wire(&answer.headers),
-        body: answer.body.to_vec(),
+        status: u32::from(response.status),
+        headers: to_wire(&response.headers),
+        body: response.body.to_vec(),
     }
 }
--- a/crates/hollywell/src/platform.rs
+++ b/crates/hollywell/src/platform.rs
@@ -28,11 +28,11 @@
 /// Longest time for one exchange with the platform, besides a poll's wait.
 const EXCHANGE_TIMEOUT: Duration = Duration::from_secs(2);
 /// Pause after a failed reading.
-const RETRY_PAUSE: Duration = Duration::from_millis(200);
+const RETRY_DELAY: Duration = Duration::from_millis(200);
 /// Largest answer of the platform, in bytes.
-const MOST_BYTES: usize = 64 << 20;
+const MAX_RESPONSE_BYTES: usize = 64 << 20;
 /// Records asked for at once.
-const MOST_RECORDS: usize = 1_000;
+const PAGE_RECORDS: usize = 1_000;
 
 #[derive(Debug, Deserialize)]
 struct LogPage {
@@ -66,11 +66,11 @@
         match read_log(&client, &platform, from).await {
             Ok(page) => {
                 from = page.next_from(from);
-                control.tell(page.into_event(sent, from)).await;
+                control.send(page.into_event(sent, from)).await;
             }
             Err(error) => {
                 log::debug!("log not read: {error}");
-                sleep(RETRY_PAUSE).await;
+                sleep(RETRY_DELAY).await;
             }
         }
     }
@@ -101,7 +101,7 @@
 async fn read_log(client: &Client, platform: &Platform, from: u64) -> Result<LogPage, Error> {
     let wait_ms = platform.poll_ms;
     let path =
-        format!("/streams/{STREAM}/records?from={from}&wait_ms={wait_ms}&max={MOST_RECORDS}");
+        format!("/streams/{STREAM}/records?from={from}&wait_ms={wait_ms}&max={PAGE_RECORDS}");
     let timeout = EXCHANGE_TIMEOUT + Duration::from_millis(wait_ms);
     get(client, platform.log, &path, timeout).await
 }
@@ -112,7 +112,7 @@
     path: &str,
     timeout: Duration,
 ) -> Result<T, Error> {
-    let answer = client.get(&address.to_string(), path, MOST_BYTES, timeout).await?;
+    let answer = client.get(&address.to_string(), path, MAX_RESPONSE_BYTES, timeout).await?;
     if !answer.status().is_success() {
         return Err(Error::Broken(format!("status {}", answer.status())));
     }
@@ -124,7 +124,7 @@
     let body = serde_json::json!({ "records": [record] }).to_string().into_bytes();
     let path = format!("/streams/{STREAM}/records");
     let address = platform.log.to_string();
-    let sent = client.post(&address, &path, body, MOST_BYTES, EXCHANGE_TIMEOUT).await;
+    let sent = client.post(&address, &path, body, MAX_RESPONSE_BYTES, EXCHANGE_TIMEOUT).await;
     match sent {
         Ok(answer) if answer.status().is_success() => {}
         Ok(answer) => log::debug!("append refused: status {}", answer.status()),
@@ -137,7 +137,7 @@
     let client = Client::new();
     loop {
         match get::<ListPage>(&client, platform.list, "/list", EXCHANGE_TIMEOUT).await {
-            Ok(page) => control.tell(Event::Listed(page.entries)).await,
+            Ok(page) => control.send(Event::Listed(page.entries)).await,
             Err(error) => log::debug!("list not read: {error}"),
         }
         sleep(Duration::from_millis(platform.list_ms)).await;
@@ -155,7 +155,7 @@
             let read = get::<Newest>(&client, platform.weights, &path, EXCHANGE_TIMEOUT).await;
             if let Ok(newest) = read {
                 let (trainer, version) = (trainer.clone(), newest.latest);
-                control.tell(Event::Version { trainer, version }).await;
+                control.send(Event::Version { trainer, version }).await;
             }
         }
         sleep(Duration::from_millis(platform.list_ms)).await;
@@ -173,7 +173,7 @@
             let (target, address) = (engine.name.clone(), engine.address.clone());
             tokio::spawn(async move {
                 let load = read_load(&client, &address).await.ok();
-                control.tell(Event::Loaded { target, load }).await;
+                control.send(Event::Loaded { target, load }).await;
             });
         }
         sleep(Duration::from_millis(platform.load_ms)).await;
@@ -181,6 +181,6 @@
 }
 
 async fn read_load(client: &Client, address: &str) -> Result<Load, Error> {
-    let answer = client.get(address, "/load", MOST_BYTES, EXCHANGE_TIMEOUT).await?;
+    let answer = client.get(address, "/load", MAX_RESPONSE_BYTES, EXCHANGE_TIMEOUT).await?;
     serde_json::from_slice(answer.body()).map_err(|error| Error::Broken(error.to_string()))
 }
--- a/crates/hollywell/src/report/steps.rs
+++ b/crates/hollywell/src/report/steps.rs
@@ -19,7 +19,7 @@
 
 /// Events from which on a run tells of its engine's pace: shorter ones are
 /// mostly waiting.
-const LEAST_EVENTS: u64 = 20;
+const MIN_EVENTS: u64 = 20;
 /// Share of runs that are faster than what is taken for an idle engine's
 /// pace.
 const IDLE_SHARE: f64 = 0.05;
@@ -165,7 +165,7 @@
 fn idle_pace(jobs: &BTreeMap<String, Job>) -> f64 {
     let pace = |sample: &Sample| {
         let (whole, events) = sample.whole?;
-        let began = sample.began.filter(|_| !sample.moved && events >= LEAST_EVENTS)?;
+        let began = sample.began.filter(|_| !sample.moved && events >= MIN_EVENTS)?;
         Some((whole - began) / events as f64)
     };
     let mut paces: Vec<f64> =
--- a/crates/hollywell/src/serve.rs
+++ b/crates/hollywell/src/serve.rs
@@ -12,9 +12,9 @@
     core::event::Event,
     metrics::Metrics,
     peer, platform,
-    watchdog::Watchdog,
     settings::Settings,
     traffic::{executor::Executor, server::Server},
+    watchdog::Watchdog,
 };
 
 /// Runs an instance until it is asked to stop and has handed everything
@@ -88,7 +88,7 @@
 
     asked_to_stop().await?;
     log::info!("stopping");
-    control.tell(Event::Drain).await;
+    control.send(Event::Drain).await;
     executor.exited().await;
     stop.send_replace(true);
     callers.await?;
@@ -103,7 +103,7 @@
     loop {
         ticks.tick().await;
         // A tick that finds the queue full is made up for by the next one.
-        let _full = control.offer(Event::Tick);
+        let _full = control.try_send(Event::Tick);
     }
 }
 
--- a/crates/hollywell/src/service.rs
+++ b/crates/hollywell/src/service.rs
@@ -8,7 +8,7 @@
 use crate::{
     core::event::End,
     http::{Client, Error, build, uri},
-    traffic::registry::{Answer, Sent},
+    traffic::registry::{BufferedRequest, BufferedResponse},
 };
 
 /// Header by which a target says that it did not run a request.
@@ -32,11 +32,11 @@
 
 /// How an attempt ended.
 #[derive(Debug)]
-pub struct Ended {
+pub struct AttemptResult {
     /// What is known of it.
     pub end: End,
     /// The target's whole answer, if there is one to pass on.
-    pub answer: Option<Answer>,
+    pub response: Option<BufferedResponse>,
     /// True if the target said that it is leaving.
     pub leaving: bool,
 }
@@ -48,40 +48,40 @@
 pub async fn send(
     client: &Client,
     address: &str,
-    sent: &Sent,
-    most_bytes: usize,
+    request: &BufferedRequest,
+    max_response_bytes: usize,
     timeout: Duration,
-) -> Ended {
-    let mut builder = Request::builder().method(&sent.method).uri(uri(address, &sent.path));
-    for (name, value) in &sent.headers {
+) -> AttemptResult {
+    let mut builder = Request::builder().method(&request.method).uri(uri(address, &request.path));
+    for (name, value) in &request.headers {
         builder = builder.header(name, value);
     }
-    let request = match build(builder, sent.body.clone()) {
-        Ok(request) => request,
-        Err(_) => return Ended { end: End::NotSent, answer: None, leaving: false },
+    let outgoing = match build(builder, request.body.clone()) {
+        Ok(outgoing) => outgoing,
+        Err(_) => return AttemptResult { end: End::NotSent, response: None, leaving: false },
     };
-    match client.fetch(request, most_bytes, timeout).await {
-        Ok(response) => judge(response),
+    match client.fetch(outgoing, max_response_bytes, timeout).await {
+        Ok(response) => classify(response),
         Err(Error::NotSent(cause)) => {
             log::debug!("target {address}: {cause}");
-            Ended { end: End::NotSent, answer: None, leaving: false }
+            AttemptResult { end: End::NotSent, response: None, leaving: false }
         }
         Err(error) => {
             log::info!("target {address}: {error}");
-            Ended { end: End::Broken, answer: None, leaving: false }
+            AttemptResult { end: End::Broken, response: None, leaving: false }
         }
     }
 }
 
-fn judge(response: http::Response<bytes::Bytes>) -> Ended {
+fn classify(response: http::Response<bytes::Bytes>) -> AttemptResult {
     let (head, body) = response.into_parts();
     let leaving = head.headers.contains_key(LEAVING);
     if head.headers.contains_key(NOT_RUN) && !head.status.is_success() {
-        return Ended { end: End::NotRun, answer: None, leaving };
+        return AttemptResult { end: End::NotRun, response: None, leaving };
     }
     let headers = end_to_end(&head.headers);
-    let answer = Answer { status: head.status.as_u16(), headers, body };
-    Ended { end: End::Answered, answer: Some(answer), leaving }
+    let response = BufferedResponse { status: head.status.as_u16(), headers, body };
+    AttemptResult { end: End::Answered, response: Some(response), leaving }
 }
 
 /// The headers that are passed on.
--- a/crates/hollywell/src/settings.rs
+++ b/crates/hollywell/src/settings.rs
@@ -55,7 +55,7 @@
     /// How long a caller waits that does not say, in milliseconds.
     pub timeout_ms: u64,
     /// Longest time that a caller may ask to wait, in milliseconds.
-    pub most_timeout_ms: u64,
+    pub max_timeout_ms: u64,
 }
 
 /// Where the platform is, and how often it is asked.
@@ -216,7 +216,7 @@
 }
 
 /// Longest time that any setting may name, in milliseconds: a day.
-const MOST_MS: u64 = 86_400_000;
+const MAX_MS: u64 = 86_400_000;
 
 fn read_times(reader: &mut Reader<'_>, config: &mut Config) {
     let usual = owner::Config::default();
@@ -224,8 +224,8 @@
     config.ownership = owner::Config {
         lease_ms: reader.number(own, "lease_ms", usual.lease_ms, 300..=60_000),
         guard_ms: reader.number(own, "guard_ms", usual.guard_ms, 10..=60_000),
-        log_away_ms: reader.number(own, "log_away_ms", usual.log_away_ms, 1_000..=MOST_MS),
-        horizon_ms: reader.number(own, "horizon_ms", usual.horizon_ms, 1_000..=MOST_MS),
+        log_away_ms: reader.number(own, "log_away_ms", usual.log_away_ms, 1_000..=MAX_MS),
+        horizon_ms: reader.number(own, "horizon_ms", usual.horizon_ms, 1_000..=MAX_MS),
     };
     config.deputy_ms = reader.number(own, "deputy_ms", config.deputy_ms, 10..=60_000);
     let members = "membership";
@@ -247,7 +247,7 @@
     let snapshots = "snapshots";
     config.snapshot_records =
         reader.number(snapshots, "records", config.snapshot_records, 1..=1_000_000);
-    config.snapshot_ms = reader.number(snapshots, "every_ms", config.snapshot_ms, 100..=MOST_MS);
+    config.snapshot_ms = reader.number(snapshots, "every_ms", config.snapshot_ms, 100..=MAX_MS);
     config.resign_ms = reader.number(members, "resign_ms", config.resign_ms, 0..=600_000);
 }
 
@@ -271,8 +271,8 @@
         answer_bytes: reader.size(section, "answer_bytes", 32 << 20, 1_024..=1 << 34),
         header_bytes: reader.size(section, "header_bytes", 32 << 10, 8_192..=1 << 20),
         receive_ms: reader.number(section, "receive_ms", 10_000, 10..=600_000),
-        timeout_ms: reader.number(section, "timeout_ms", 10_000, 10..=MOST_MS),
-        most_timeout_ms: reader.number(section, "most_timeout_ms", 600_000, 10..=MOST_MS),
+        timeout_ms: reader.number(section, "timeout_ms", 10_000, 10..=MAX_MS),
+        max_timeout_ms: reader.number(section, "most_timeout_ms", 600_000, 10..=MAX_MS),
     }
 }
 
--- a/crates/hollywell/src/traffic/admin.rs
+++ b/crates/hollywell/src/traffic/admin.rs
@@ -4,7 +4,7 @@
 use hyper::body::Incoming;
 
 use super::{
-    registry::{Replied, Sent},
+    registry::{BufferedRequest, RequestOutcome},
     server::{Body, Server, json},
 };
 use crate::{
@@ -16,7 +16,7 @@
 };
 
 /// Largest value of a row's numbers.
-const MOST_WEIGHT: u32 = 1_000_000;
+const MAX_WEIGHT: u32 = 1_000_000;
 
 /// Answers an operator.
 pub(super) async fn answer(
@@ -50,29 +50,31 @@
     let Some(edit) = serde_json::from_slice::<Edit>(&body).ok().filter(is_sound) else {
         return server.refusal(Kind::Malformed, arrived);
     };
-    let nothing = Sent {
+    let nothing = BufferedRequest {
         method: Method::POST,
         path: String::new(),
         headers: http::HeaderMap::new(),
         body: bytes::Bytes::new(),
     };
-    let (number, replied) = server.registry.open(nothing);
-    if server.control.offer(Event::Edit { request: number, edit }).is_err() {
-        server.registry.close(number);
+    let (number, replied) = server.registry.register(nothing);
+    if server.control.try_send(Event::Edit { request: number, edit }).is_err() {
+        server.registry.discard(number);
         return server.refusal(Kind::Overloaded, arrived);
     }
     match replied.await {
-        Ok(Replied::Edited(outcome @ Outcome::Accepted { .. })) => json(StatusCode::OK, &outcome),
-        Ok(Replied::Edited(outcome)) => json(StatusCode::CONFLICT, &outcome),
-        Ok(Replied::Refused { kind, .. }) => server.refusal(kind, arrived),
-        Ok(Replied::Answer { .. }) | Err(_) => server.refusal(Kind::Internal, arrived),
+        Ok(RequestOutcome::Edited(outcome @ Outcome::Accepted { .. })) => {
+            json(StatusCode::OK, &outcome)
+        }
+        Ok(RequestOutcome::Edited(outcome)) => json(StatusCode::CONFLICT, &outcome),
+        Ok(RequestOutcome::Refused { kind, .. }) => server.refusal(kind, arrived),
+        Ok(RequestOutcome::Response { .. }) | Err(_) => server.refusal(Kind::Internal, arrived),
     }
 }
 
 fn is_sound(edit: &Edit) -> bool {
     let named = !edit.id.is_empty() && !edit.trainer.is_empty() && !edit.by.is_empty();
     let row_fits = edit.row.as_ref().is_none_or(|row| {
-        row.trainer == edit.trainer && (1..=MOST_WEIGHT).contains(&row.weight) && row.in_flight >= 1
+        row.trainer == edit.trainer && (1..=MAX_WEIGHT).contains(&row.weight) && row.in_flight >= 1
     });
     named && row_fits
 }
--- a/crates/hollywell/src/traffic/calls.rs
+++ b/crates/hollywell/src/traffic/calls.rs
@@ -7,8 +7,8 @@
 use xxhash_rust::xxh3::Xxh3;
 
 use super::{
-    registry::{Answer, Replied, Sent},
-    server::{Body, Server, full},
+    registry::{BufferedRequest, BufferedResponse, RequestOutcome},
+    server::{Body, Server, full_body},
 };
 use crate::{
     core::{
@@ -21,7 +21,7 @@
 };
 
 /// Longest idempotency key, in bytes.
-const MOST_KEY_BYTES: usize = 256;
+const MAX_KEY_BYTES: usize = 256;
 
 /// Answers a call.
 pub(super) async fn call(
@@ -35,7 +35,8 @@
     let read = server.read_body(body).await;
     let prepared = read.and_then(|body| {
         let path = path_at_target(&head.uri, pool);
-        let sent = Sent { method: head.method, path, headers: end_to_end(&head.headers), body };
+        let sent =
+            BufferedRequest { method: head.method, path, headers: end_to_end(&head.headers), body };
         let call = describe(server, &head.headers, pool, &sent)?;
         Ok((call, sent))
     });
@@ -44,28 +45,28 @@
         Err(kind) => return server.refusal(kind, arrived),
     };
     let keyed = call.key.is_some();
-    let (number, replied) = server.registry.open(sent);
+    let (number, replied) = server.registry.register(sent);
     let mut guard = Guard { server, request: Some(number) };
     let event = Event::Call { request: number, arrived: earliest, call };
-    if server.control.offer(event).is_err() {
+    if server.control.try_send(event).is_err() {
         let kind = if keyed { Kind::Unverified } else { Kind::Overloaded };
         return server.refusal(kind, arrived);
     }
     let replied = replied.await;
     guard.request = None;
     match replied {
-        Ok(Replied::Answer { answer, .. }) => {
+        Ok(RequestOutcome::Response { response, .. }) => {
             let took = Duration::from_millis(server.clock.now().since(arrived));
             server.metrics.answered(took);
-            log::debug!("request {}: answered {} in {took:?}", number.0, answer.status);
-            respond(answer)
+            log::debug!("request {}: answered {} in {took:?}", number.0, response.status);
+            into_http(response)
         }
-        Ok(Replied::Refused { kind, .. }) => {
+        Ok(RequestOutcome::Refused { kind, .. }) => {
             let outcome = kind.answer().outcome.as_str();
             log::info!("request {}: refused as {}, {outcome}", number.0, kind.as_str());
             server.refusal(kind, arrived)
         }
-        Ok(Replied::Edited(_)) | Err(_) => server.refusal(Kind::Internal, arrived),
+        Ok(RequestOutcome::Edited(_)) | Err(_) => server.refusal(Kind::Internal, arrived),
     }
 }
 
@@ -80,7 +81,7 @@
     fn drop(&mut self) {
         if let Some(request) = self.request {
             // If the queue is full the reducer answers into the void later.
-            let _full = self.server.control.offer(Event::CallerGone { request });
+            let _full = self.server.control.try_send(Event::CallerGone { request });
         }
     }
 }
@@ -95,13 +96,18 @@
     }
 }
 
-fn describe(server: &Server, headers: &HeaderMap, pool: &str, sent: &Sent) -> Result<Call, Kind> {
+fn describe(
+    server: &Server,
+    headers: &HeaderMap,
+    pool: &str,
+    sent: &BufferedRequest,
+) -> Result<Call, Kind> {
     let text = |name: &str| -> Result<Option<String>, Kind> {
         let Some(value) = headers.get(name) else {
             return Ok(None);
         };
         let value = value.to_str().map_err(|_| Kind::Malformed)?;
-        let fits = !value.is_empty() && value.len() <= MOST_KEY_BYTES;
+        let fits = !value.is_empty() && value.len() <= MAX_KEY_BYTES;
         fits.then(|| Some(value.to_owned())).ok_or(Kind::Malformed)
     };
     Ok(Call {
@@ -117,7 +123,7 @@
     })
 }
 
-fn digest(pool: &str, sent: &Sent) -> u64 {
+fn digest(pool: &str, sent: &BufferedRequest) -> u64 {
     let mut hash = Xxh3::new();
     for part in [pool.as_bytes(), sent.method.as_str().as_bytes(), sent.path.as_bytes()] {
         hash.update(part);
@@ -127,9 +133,10 @@
     hash.digest()
 }
 
-fn respond(answer: Answer) -> Response<Body> {
-    let mut response = Response::new(full(answer.body));
-    *response.status_mut() = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::BAD_GATEWAY);
-    *response.headers_mut() = answer.headers;
+fn into_http(buffered: BufferedResponse) -> Response<Body> {
+    let mut response = Response::new(full_body(buffered.body));
+    *response.status_mut() =
+        StatusCode::from_u16(buffered.status).unwrap_or(StatusCode::BAD_GATEWAY);
+    *response.headers_mut() = buffered.headers;
     response
 }
--- a/crates/hollywell/src/traffic/executor.rs
+++ b/crates/hollywell/src/traffic/executor.rs
@@ -8,7 +8,7 @@
 
 use tokio::sync::{Notify, Semaphore, mpsc};
 
-use super::registry::{Registry, Replied};
+use super::registry::{Registry, RequestOutcome};
 use crate::{
     clock::Clock,
     control::Handle,
@@ -30,7 +30,7 @@
 };
 
 /// Appends under way at once; the log serves all instances.
-const MOST_APPENDS: usize = 8;
+const MAX_APPENDS: usize = 8;
 
 /// What carrying out effects takes. Clones share everything.
 #[derive(Clone, Debug)]
@@ -48,7 +48,7 @@
     /// Where the platform is.
     pub platform: Platform,
     /// Largest answer of a target, in bytes.
-    pub most_bytes: usize,
+    pub max_response_bytes: usize,
     /// Counts.
     pub metrics: Metrics,
     appends: Arc<Semaphore>,
@@ -72,9 +72,9 @@
             peers: peer::Client::new(),
             http: Client::new(),
             platform,
-            most_bytes: limits.body_bytes,
+            max_response_bytes: limits.body_bytes,
             metrics,
-            appends: Arc::new(Semaphore::new(MOST_APPENDS)),
+            appends: Arc::new(Semaphore::new(MAX_APPENDS)),
             exit: Arc::new(Notify::new()),
         }
     }
@@ -87,11 +87,11 @@
     /// Carries out effects until there are no more.
     pub async fn run(self, mut effects: mpsc::Receiver<Effect>) {
         while let Some(effect) = effects.recv().await {
-            self.carry_out(effect);
+            self.execute(effect);
         }
     }
 
-    fn carry_out(&self, effect: Effect) {
+    fn execute(&self, effect: Effect) {
         match effect {
             Effect::Dispatch { request, dispatch, address, before, deadline } => {
                 let this = self.clone();
@@ -112,10 +112,10 @@
             Effect::Append { record } => self.append(record),
             Effect::Generate { request, dispatch, slot, address, priority, deadline } => {
                 let this = self.clone();
-                let ask = engine::Ask { dispatch, address, priority, deadline };
-                tokio::spawn(async move { this.generate(request, slot, &ask).await });
+                let generate = engine::GenerateRequest { dispatch, address, priority, deadline };
+                tokio::spawn(async move { this.generate(request, slot, &generate).await });
             }
-            Effect::Cancel { dispatch } => self.registry.cancel(dispatch),
+            Effect::Cancel { dispatch } => self.registry.cancel_attempt(dispatch),
             Effect::Deliver { request, dispatch, slot, versions } => {
                 super::steps::deliver(&self.registry, request, dispatch, slot, &versions);
             }
@@ -141,60 +141,61 @@
         deadline: Time,
     ) {
         let timeout = self.clock.left(deadline);
-        let sent = self.registry.sent(request);
-        let (end, leaving) = match sent {
-            Some(sent) if self.clock.now() < before => {
-                let ended =
-                    service::send(&self.http, address, &sent, self.most_bytes, timeout).await;
-                if let Some(answer) = ended.answer {
-                    self.registry.keep_answer(dispatch, answer);
+        let buffered = self.registry.request(request);
+        let (end, leaving) = match buffered {
+            Some(buffered) if self.clock.now() < before => {
+                let attempt =
+                    service::send(&self.http, address, &buffered, self.max_response_bytes, timeout)
+                        .await;
+                if let Some(response) = attempt.response {
+                    self.registry.store_response(dispatch, response);
                 }
-                (ended.end, ended.leaving)
+                (attempt.end, attempt.leaving)
             }
             _ => (End::NotSent, false),
         };
-        self.control.tell(Event::TargetEnded { dispatch, end, leaving }).await;
+        self.control.send(Event::TargetEnded { dispatch, end, leaving }).await;
     }
 
     async fn forward(&self, request: Request, address: &str, forward: &Forward) {
         let timeout = Duration::from_millis(forward.call.timeout_ms);
-        let replied = match self.registry.sent(request) {
-            Some(sent) => self.peers.forward(address, forward, &sent, timeout).await,
+        let forwarded = match self.registry.request(request) {
+            Some(buffered) => self.peers.forward(address, forward, &buffered, timeout).await,
             None => None,
         };
-        let result = replied.map(|(result, answer)| {
-            if let Some(answer) = answer {
-                self.registry.keep_relayed(request, answer);
+        let result = forwarded.map(|(result, response)| {
+            if let Some(response) = response {
+                self.registry.store_relayed(request, response);
             }
             result
         });
-        self.control.tell(Event::ForwardEnded { request, result }).await;
+        self.control.send(Event::ForwardEnded { request, result }).await;
     }
 
     fn reply(&self, request: Request, reply: Reply, reading: Option<Reading>) {
-        let answer = match reply {
-            Reply::Stored(dispatch) => self.registry.answer(dispatch),
+        let response = match reply {
+            Reply::Stored(dispatch) => self.registry.response(dispatch),
             Reply::Relayed => self.registry.take_relayed(request),
             Reply::Refused(kind) => {
-                self.registry.reply(request, Replied::Refused { kind, reading });
+                self.registry.reply(request, RequestOutcome::Refused { kind, reading });
                 return;
             }
             Reply::Edited(outcome) => {
-                self.registry.reply(request, Replied::Edited(outcome));
+                self.registry.reply(request, RequestOutcome::Edited(outcome));
                 return;
             }
         };
-        let replied = match answer {
-            Some(answer) => Replied::Answer { answer, reading },
-            None => Replied::Refused { kind: Kind::OutcomeUnknown, reading },
+        let outcome = match response {
+            Some(response) => RequestOutcome::Response { response, reading },
+            None => RequestOutcome::Refused { kind: Kind::OutcomeUnknown, reading },
         };
-        self.registry.reply(request, replied);
+        self.registry.reply(request, outcome);
     }
 
     fn append(&self, record: Record) {
         let Ok(permit) = Arc::clone(&self.appends).try_acquire_owned() else {
             // The reducer repeats whatever is not read back.
-            log::debug!("append dropped: {MOST_APPENDS} are under way");
+            log::debug!("append dropped: {MAX_APPENDS} are under way");
             return;
         };
         let (http, platform) = (self.http.clone(), self.platform.clone());
@@ -204,21 +205,26 @@
         });
     }
 
-    async fn generate(&self, request: Request, slot: rollout::Slot, ask: &engine::Ask) {
-        let stop = self.registry.start(ask.dispatch);
+    async fn generate(
+        &self,
+        request: Request,
+        slot: rollout::Slot,
+        generate: &engine::GenerateRequest,
+    ) {
+        let stop = self.registry.start_attempt(generate.dispatch);
         let end = match self.registry.prompt(request, slot) {
             Some((trainer, prompt)) => {
-                let timeout = self.clock.left(ask.deadline);
-                let generated = engine::generate(&self.http, ask, &trainer, &prompt, timeout);
+                let timeout = self.clock.left(generate.deadline);
+                let generated = engine::generate(&self.http, generate, &trainer, &prompt, timeout);
                 tokio::select! {
-                    sample = generated => self.keep_sample(ask.dispatch, sample),
+                    sample = generated => self.keep_sample(generate.dispatch, sample),
                     () = stop.notified() => rollout::End::Broken,
                 }
             }
             None => rollout::End::Broken,
         };
-        self.registry.end(ask.dispatch);
-        self.control.tell(Event::SampleEnded { dispatch: ask.dispatch, end }).await;
+        self.registry.end_attempt(generate.dispatch);
+        self.control.send(Event::SampleEnded { dispatch: generate.dispatch, end }).await;
     }
 
     fn keep_sample(
@@ -228,7 +234,7 @@
     ) -> rollout::End {
         match sample {
             Ok(sample) => {
-                self.registry.keep_sample(dispatch, sample.text);
+                self.registry.store_sample(dispatch, sample.text);
                 rollout::End::Whole(sample.versions)
             }
             Err(end) => end,
@@ -238,6 +244,6 @@
     async fn order(&self, target: String, address: &str, order: &Order, before: Time) {
         let in_time = self.clock.now() < before;
         let taken = in_time && engine::order(&self.http, address, order).await;
-        self.control.tell(Event::OrderEnded { target, taken }).await;
+        self.control.send(Event::OrderEnded { target, taken }).await;
     }
 }
--- a/crates/hollywell/src/traffic/registry.rs
+++ b/crates/hollywell/src/traffic/registry.rs
@@ -25,7 +25,7 @@
 
 /// A request's bytes, as a target is to get them.
 #[derive(Clone, Debug)]
-pub struct Sent {
+pub struct BufferedRequest {
     /// The method.
     pub method: Method,
     /// Path and query at the target.
@@ -38,7 +38,7 @@
 
 /// A target's whole answer.
 #[derive(Clone, Debug, Default)]
-pub struct Answer {
+pub struct BufferedResponse {
     /// The status.
     pub status: u16,
     /// Headers without those of the connection.
@@ -49,11 +49,11 @@
 
 /// What a request was answered with.
 #[derive(Debug)]
-pub enum Replied {
+pub enum RequestOutcome {
     /// A target's answer.
-    Answer {
-        /// The answer.
-        answer: Answer,
+    Response {
+        /// The response.
+        response: BufferedResponse,
         /// What this instance says of itself as an owner.
         reading: Option<Reading>,
     },
@@ -89,23 +89,23 @@
 }
 
 #[derive(Debug, Default)]
-struct Held {
-    requests: HashMap<Request, (Arc<Sent>, oneshot::Sender<Replied>)>,
-    relayed: HashMap<Request, Answer>,
-    answers: HashMap<Dispatch, Answer>,
+struct Buffers {
+    requests: HashMap<Request, (Arc<BufferedRequest>, oneshot::Sender<RequestOutcome>)>,
+    relayed: HashMap<Request, BufferedResponse>,
+    responses: HashMap<Dispatch, BufferedResponse>,
     /// The answers' dispatches in the order in which they came, those that
     /// were forgotten among them.
-    order: VecDeque<Dispatch>,
-    answer_bytes: usize,
+    insertion_order: VecDeque<Dispatch>,
+    response_bytes: usize,
     steps: HashMap<Request, OpenStep>,
     samples: HashMap<Dispatch, String>,
     running: HashMap<Dispatch, Arc<Notify>>,
 }
 
-impl Held {
-    fn drop_answer(&mut self, dispatch: Dispatch) {
-        if let Some(answer) = self.answers.remove(&dispatch) {
-            self.answer_bytes -= answer.body.len();
+impl Buffers {
+    fn drop_response(&mut self, dispatch: Dispatch) {
+        if let Some(response) = self.responses.remove(&dispatch) {
+            self.response_bytes -= response.body.len();
         }
     }
 }
@@ -113,9 +113,9 @@
 /// The bytes that one instance holds. Clones share them.
 #[derive(Clone, Debug)]
 pub struct Registry {
-    held: Arc<Mutex<Held>>,
+    buffers: Arc<Mutex<Buffers>>,
     last_request: Arc<AtomicU64>,
-    most_answer_bytes: usize,
+    max_response_bytes: usize,
 }
 
 impl Registry {
@@ -123,145 +123,150 @@
     /// all. The oldest make room; a key whose answer is gone is answered
     /// "unknown" when it is sent again.
     #[must_use]
-    pub fn new(most_answer_bytes: usize) -> Registry {
-        let (held, last_request) = Default::default();
-        Registry { held, last_request, most_answer_bytes }
+    pub fn new(max_response_bytes: usize) -> Registry {
+        let (buffers, last_request) = Default::default();
+        Registry { buffers, last_request, max_response_bytes }
     }
 
-    fn held(&self) -> MutexGuard<'_, Held> {
+    fn lock(&self) -> MutexGuard<'_, Buffers> {
         // Every critical section is a single map operation, so a panic in
         // another thread cannot have left the maps half changed.
-        self.held.lock().unwrap_or_else(PoisonError::into_inner)
+        self.buffers.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// A number for a new request.
     #[must_use]
-    pub fn number(&self) -> Request {
+    pub fn next_request(&self) -> Request {
         Request(self.last_request.fetch_add(1, Ordering::Relaxed) + 1)
     }
 
     /// Holds a request until it is replied to.
     #[must_use]
-    pub fn open(&self, sent: Sent) -> (Request, oneshot::Receiver<Replied>) {
-        let request = self.number();
-        let (reply, replied) = oneshot::channel();
-        self.held().requests.insert(request, (Arc::new(sent), reply));
-        (request, replied)
+    pub fn register(&self, sent: BufferedRequest) -> (Request, oneshot::Receiver<RequestOutcome>) {
+        let request = self.next_request();
+        let (reply, outcome) = oneshot::channel();
+        self.lock().requests.insert(request, (Arc::new(sent), reply));
+        (request, outcome)
     }
 
     /// The bytes of a request that is not replied to yet.
     #[must_use]
-    pub fn sent(&self, request: Request) -> Option<Arc<Sent>> {
-        self.held().requests.get(&request).map(|(sent, _)| Arc::clone(sent))
+    pub fn request(&self, request: Request) -> Option<Arc<BufferedRequest>> {
+        self.lock().requests.get(&request).map(|(sent, _)| Arc::clone(sent))
     }
 
     /// Replies to a request and drops its bytes.
-    pub fn reply(&self, request: Request, replied: Replied) {
-        let held = self.held().requests.remove(&request);
-        if let Some((_, reply)) = held {
+    pub fn reply(&self, request: Request, outcome: RequestOutcome) {
+        let removed = self.lock().requests.remove(&request);
+        if let Some((_, reply)) = removed {
             // The caller may have gone; then nobody needs the answer.
-            let _gone = reply.send(replied);
+            let _gone = reply.send(outcome);
         }
     }
 
     /// Drops a request without a reply.
-    pub fn close(&self, request: Request) {
-        self.held().requests.remove(&request);
+    pub fn discard(&self, request: Request) {
+        self.lock().requests.remove(&request);
     }
 
     /// Keeps the answer that the owner of a key sent back.
-    pub fn keep_relayed(&self, request: Request, answer: Answer) {
-        self.held().relayed.insert(request, answer);
+    pub fn store_relayed(&self, request: Request, response: BufferedResponse) {
+        self.lock().relayed.insert(request, response);
     }
 
     /// Takes the answer that the owner of a key sent back.
     #[must_use]
-    pub fn take_relayed(&self, request: Request) -> Option<Answer> {
-        self.held().relayed.remove(&request)
+    pub fn take_relayed(&self, request: Request) -> Option<BufferedResponse> {
+        self.lock().relayed.remove(&request)
     }
 
     /// Keeps a target's answer until it is forgotten.
-    pub fn keep_answer(&self, dispatch: Dispatch, answer: Answer) {
-        let mut held = self.held();
-        held.answer_bytes += answer.body.len();
-        held.answers.insert(dispatch, answer);
-        held.order.push_back(dispatch);
-        while held.answer_bytes > self.most_answer_bytes && held.order.len() > 1 {
-            if let Some(oldest) = held.order.pop_front() {
-                held.drop_answer(oldest);
+    pub fn store_response(&self, dispatch: Dispatch, response: BufferedResponse) {
+        let mut buffers = self.lock();
+        buffers.response_bytes += response.body.len();
+        buffers.responses.insert(dispatch, response);
+        buffers.insertion_order.push_back(dispatch);
+        while buffers.response_bytes > self.max_response_bytes && buffers.insertion_order.len() > 1
+        {
+            if let Some(oldest) = buffers.insertion_order.pop_front() {
+                buffers.drop_response(oldest);
             }
         }
     }
 
     /// A target's answer.
     #[must_use]
-    pub fn answer(&self, dispatch: Dispatch) -> Option<Answer> {
-        self.held().answers.get(&dispatch).cloned()
+    pub fn response(&self, dispatch: Dispatch) -> Option<BufferedResponse> {
+        self.lock().responses.get(&dispatch).cloned()
     }
 
     /// Drops what a dispatch produced.
     pub fn forget(&self, dispatch: Dispatch) {
-        let mut held = self.held();
-        held.drop_answer(dispatch);
-        held.samples.remove(&dispatch);
-        while held.order.front().is_some_and(|oldest| !held.answers.contains_key(oldest)) {
-            held.order.pop_front();
+        let mut buffers = self.lock();
+        buffers.drop_response(dispatch);
+        buffers.samples.remove(&dispatch);
+        while buffers
+            .insertion_order
+            .front()
+            .is_some_and(|oldest| !buffers.responses.contains_key(oldest))
+        {
+            buffers.insertion_order.pop_front();
         }
     }
 
     /// Holds an open step.
     pub fn open_step(&self, request: Request, step: OpenStep) {
-        self.held().steps.insert(request, step);
+        self.lock().steps.insert(request, step);
     }
 
     /// An open step.
     #[must_use]
     pub fn step(&self, request: Request) -> Option<OpenStep> {
-        self.held().steps.get(&request).cloned()
+        self.lock().steps.get(&request).cloned()
     }
 
     /// Drops a step; its stream ends once all lines are sent.
     #[must_use]
     pub fn close_step(&self, request: Request) -> Option<OpenStep> {
-        self.held().steps.remove(&request)
+        self.lock().steps.remove(&request)
     }
 
     /// The prompt of a slot, with the trainer.
     #[must_use]
     pub fn prompt(&self, request: Request, slot: Slot) -> Option<(String, Prompt)> {
-        let held = self.held();
-        let step = held.steps.get(&request)?;
+        let buffers = self.lock();
+        let step = buffers.steps.get(&request)?;
         let prompt = step.prompts.get(&slot.group)?;
         Some((step.trainer.clone(), prompt.clone()))
     }
 
     /// Keeps a sample's text until it is delivered or forgotten.
-    pub fn keep_sample(&self, dispatch: Dispatch, text: String) {
-        self.held().samples.insert(dispatch, text);
+    pub fn store_sample(&self, dispatch: Dispatch, text: String) {
+        self.lock().samples.insert(dispatch, text);
     }
 
     /// Takes a sample's text.
     #[must_use]
     pub fn take_sample(&self, dispatch: Dispatch) -> Option<String> {
-        self.held().samples.remove(&dispatch)
+        self.lock().samples.remove(&dispatch)
     }
 
     /// Notes that an attempt runs, and returns what tells it to stop.
     #[must_use]
-    pub fn start(&self, dispatch: Dispatch) -> Arc<Notify> {
+    pub fn start_attempt(&self, dispatch: Dispatch) -> Arc<Notify> {
         let stop = Arc::new(Notify::new());
-        self.held().running.insert(dispatch, Arc::clone(&stop));
+        self.lock().running.insert(dispatch, Arc::clone(&stop));
         stop
     }
 
     /// Notes that an attempt has ended.
-    pub fn end(&self, dispatch: Dispatch) {
-        self.held().running.remove(&dispatch);
+    pub fn end_attempt(&self, dispatch: Dispatch) {
+        self.lock().running.remove(&dispatch);
     }
 
     /// Tells an attempt to stop, if it still runs.
-    pub fn cancel(&self, dispatch: Dispatch) {
-        let running = self.held().running.get(&dispatch).cloned();
+    pub fn cancel_attempt(&self, dispatch: Dispatch) {
+        let running = self.lock().running.get(&dispatch).cloned();
         if let Some(stop) = running {
             stop.notify_one();
         }
--- a/crates/hollywell/src/traffic/server.rs
+++ b/crates/hollywell/src/traffic/server.rs
@@ -21,7 +21,8 @@
 
 use super::{admin, calls, registry::Registry, steps};
 use crate::{
-    clock::Clock, control::Handle, error::Kind, metrics::Metrics, watchdog::Watchdog, settings::Limits,
+    clock::Clock, control::Handle, error::Kind, metrics::Metrics, settings::Limits,
+    watchdog::Watchdog,
 };
 
 /// The body of every answer.
@@ -153,7 +154,7 @@
     fn metrics(&self) -> Response<Body> {
         match self.metrics.render(&self.control.view()) {
             Ok(bytes) => {
-                let mut response = Response::new(full(Bytes::from(bytes)));
+                let mut response = Response::new(full_body(Bytes::from(bytes)));
                 let kind = HeaderValue::from_static("text/plain; version=0.0.4");
                 response.headers_mut().insert(header::CONTENT_TYPE, kind);
                 response
@@ -187,7 +188,7 @@
         };
         let number = value.to_str().ok().and_then(|value| value.parse::<u64>().ok());
         let allowed = number.filter(|ms| *ms > 0);
-        allowed.map(|ms| ms.min(self.limits.most_timeout_ms)).ok_or(Kind::Malformed)
+        allowed.map(|ms| ms.min(self.limits.max_timeout_ms)).ok_or(Kind::Malformed)
     }
 }
 
@@ -219,12 +220,12 @@
 }
 
 /// A body that is all here.
-pub fn full(bytes: Bytes) -> Body {
+pub fn full_body(bytes: Bytes) -> Body {
     Full::new(bytes).boxed_unsync()
 }
 
 fn text(status: StatusCode, text: &str) -> Response<Body> {
-    let mut response = Response::new(full(Bytes::copy_from_slice(text.as_bytes())));
+    let mut response = Response::new(full_body(Bytes::copy_from_slice(text.as_bytes())));
     *response.status_mut() = status;
     response
 }
@@ -232,7 +233,7 @@
 /// A JSON answer.
 pub fn json(status: StatusCode, value: &impl serde::Serialize) -> Response<Body> {
     let bytes = serde_json::to_vec(value).unwrap_or_default();
-    let mut response = Response::new(full(Bytes::from(bytes)));
+    let mut response = Response::new(full_body(Bytes::from(bytes)));
     *response.status_mut() = status;
     let kind = HeaderValue::from_static("application/json");
     response.headers_mut().insert(header::CONTENT_TYPE, kind);
--- a/crates/hollywell/src/traffic/steps.rs
+++ b/crates/hollywell/src/traffic/steps.rs
@@ -25,9 +25,9 @@
 };
 
 /// Most samples that one opening may ask for.
-const MOST_SAMPLES: usize = 65_536;
+const MAX_SAMPLES: usize = 65_536;
 /// Tokens to generate where the trainer does not say.
-const USUAL_TOKENS: u32 = 256;
+const DEFAULT_MAX_TOKENS: u32 = 256;
 
 /// A step as a trainer posts it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -106,10 +106,10 @@
     let opening = opening(&step);
     let room = opening.groups.iter().map(|group| group.missing.len()).sum::<usize>() + 1;
     let (lines, stream) = mpsc::channel(room);
-    let number = server.registry.number();
+    let number = server.registry.next_request();
     let open_step = OpenStep { trainer: step.trainer.clone(), prompts: prompts(&step), lines };
     server.registry.open_step(number, open_step);
-    if server.control.offer(Event::StepOpened { request: number, opening }).is_err() {
+    if server.control.try_send(Event::StepOpened { request: number, opening }).is_err() {
         let _step = server.registry.close_step(number);
         return server.refusal(Kind::Overloaded, arrived);
     }
@@ -125,7 +125,7 @@
     let mut numbers: Vec<u32> = step.groups.iter().map(|group| group.group).collect();
     numbers.sort_unstable();
     let repeated = numbers.windows(2).any(|pair| pair[0] == pair[1]);
-    if samples == 0 || samples > MOST_SAMPLES || step.timeout_ms == 0 || repeated {
+    if samples == 0 || samples > MAX_SAMPLES || step.timeout_ms == 0 || repeated {
         Some(Kind::Malformed)
     } else if view.draining {
         Some(Kind::Draining)
@@ -153,7 +153,7 @@
 
 fn prompts(step: &StepBody) -> Arc<HashMap<u32, Prompt>> {
     let prompt = |group: &GroupBody| {
-        let max_tokens = group.max_tokens.unwrap_or(USUAL_TOKENS);
+        let max_tokens = group.max_tokens.unwrap_or(DEFAULT_MAX_TOKENS);
         (group.group, Prompt { text: group.prompt.clone(), max_tokens })
     };
     Arc::new(step.groups.iter().map(prompt).collect())
@@ -169,7 +169,7 @@
     fn drop(&mut self) {
         if self.server.registry.close_step(self.request).is_some() {
             let event = Event::CallerGone { request: self.request };
-            let _full = self.server.control.offer(event);
+            let _full = self.server.control.try_send(event);
         }
     }
 }
--- a/crates/hollywell/tests/registry.rs
+++ b/crates/hollywell/tests/registry.rs
@@ -3,33 +3,33 @@
 use bytes::Bytes;
 use hollywell::{
     core::id::Dispatch,
-    traffic::registry::{Answer, Registry},
+    traffic::registry::{BufferedResponse, Registry},
 };
 
-fn answer(bytes: usize) -> Answer {
-    Answer { body: Bytes::from(vec![b'x'; bytes]), ..Answer::default() }
+fn answer(bytes: usize) -> BufferedResponse {
+    BufferedResponse { body: Bytes::from(vec![b'x'; bytes]), ..BufferedResponse::default() }
 }
 
 #[test]
 fn the_oldest_answers_make_room_for_new_ones() {
     let registry = Registry::new(1_000);
     for number in 1..=4 {
-        registry.keep_answer(Dispatch(number), answer(400));
+        registry.store_response(Dispatch(number), answer(400));
     }
     let held: Vec<u64> =
-        (1..=4).filter(|number| registry.answer(Dispatch(*number)).is_some()).collect();
+        (1..=4).filter(|number| registry.response(Dispatch(*number)).is_some()).collect();
     assert_eq!(held, [3, 4], "1,600 bytes do not fit into 1,000");
 }
 
 #[test]
 fn forgotten_answers_make_room_and_the_newest_is_always_held() {
     let registry = Registry::new(1_000);
-    registry.keep_answer(Dispatch(1), answer(900));
+    registry.store_response(Dispatch(1), answer(900));
     registry.forget(Dispatch(1));
-    registry.keep_answer(Dispatch(2), answer(900));
-    assert!(registry.answer(Dispatch(2)).is_some());
+    registry.store_response(Dispatch(2), answer(900));
+    assert!(registry.response(Dispatch(2)).is_some());
     // Its caller waits for it: one answer over the bound is passed on.
-    registry.keep_answer(Dispatch(3), answer(5_000));
-    assert!(registry.answer(Dispatch(3)).is_some());
-    assert!(registry.answer(Dispatch(2)).is_none());
+    registry.store_response(Dispatch(3), answer(5_000));
+    assert!(registry.response(Dispatch(3)).is_some());
+    assert!(registry.response(Dispatch(2)).is_none());
 }
--- a/crates/hollywell/tests/server.rs
+++ b/crates/hollywell/tests/server.rs
@@ -13,9 +13,9 @@
         reducer::Config,
     },
     metrics::Metrics,
-    watchdog::Watchdog,
     settings::{Limits, Platform},
     traffic::{executor::Executor, server::Server},
+    watchdog::Watchdog,
 };
 use tokio::{
     io::{AsyncReadExt as _, AsyncWriteExt as _},
@@ -51,7 +51,7 @@
         header_bytes: 8_192,
         receive_ms: 300,
         timeout_ms: 2_000,
-        most_timeout_ms: 5_000,
+        max_timeout_ms: 5_000,
     };
     let executor = Executor::new(control.clone(), clock, platform, &limits, metrics.clone());
     let registry = executor.registry.clone();
@@ -63,7 +63,7 @@
     tokio::spawn(watchdog.clone().run(clock));
     let server = Server { control: control.clone(), clock, registry, watchdog, limits, metrics };
     tokio::spawn(server.serve(listener, stopping));
-    control.tell(Event::Listed(targets().await)).await;
+    control.send(Event::Listed(targets().await)).await;
     Running { address, stop }
 }
 
