--- a/crates/hollywell/src/serve.rs
+++ b/crates/hollywell/src/serve.rs
@@ -12,9 +12,9 @@
     core::event::Event,
     metrics::Metrics,
     peer, platform,
-    pulse::Pulse,
     settings::Settings,
     traffic::{executor::Executor, server::Server},
+    watchdog::Watchdog,
 };
 
 /// Runs an instance until it is asked to stop and has handed everything
@@ -74,13 +74,13 @@
             let _ended = peer_stop.wait_for(|stop| *stop).await;
         },
     ));
-    let pulse = Pulse::new(clock.now());
-    tokio::spawn(pulse.clone().keep(clock));
+    let watchdog = Watchdog::new(clock.now());
+    tokio::spawn(watchdog.clone().run(clock));
     let server = Server {
         control: control.clone(),
         clock,
         registry,
-        pulse,
+        watchdog,
         limits: settings.limits,
         metrics,
     };
@@ -88,7 +88,7 @@
 
     asked_to_stop().await?;
     log::info!("stopping");
-    control.tell(Event::Drain).await;
+    control.send(Event::Drain).await;
     executor.exited().await;
     stop.send_replace(true);
     callers.await?;
@@ -103,7 +103,7 @@
     loop {
         ticks.tick().await;
         // A tick that finds the queue full is made up for by the next one.
-        let _full = control.offer(Event::Tick);
+        let _full = control.try_send(Event::Tick);
     }
 }
 
