--- a/crates/hollywell/src/entry/serve.rs
+++ b/crates/hollywell/src/entry/serve.rs
@@ -25,13 +25,13 @@
     },
     entry::{
         self, clean,
-        dialect::Dialect,
-        duties, ends,
+        codec::Codec,
+        configuration, duties, ends,
         exchange::Pool,
         feed::Feed,
         follow, ingress, member,
         meters::Meters,
-        news, orders, outbox, peers, plans,
+        news, orders, outbox, peers,
         reader::Reader,
         relay::Relay,
         reload,
@@ -39,7 +39,7 @@
         shared::{JOB_PARTS, Shared, Shelf, World},
         store::Client,
         suspects,
-        texts::Texts,
+        texts::TextCache,
         usage,
     },
 };
@@ -65,7 +65,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Adapter {
     /// How the platform spells things.
-    pub dialect: fn() -> Dialect,
+    pub codec: fn() -> Codec,
     /// The store's client, over the given connections.
     pub store: fn(Rc<Pool>, &Store) -> Client,
     /// Where the platform put the settings file.
@@ -122,7 +122,7 @@
     let store = (adapter.store)(pool.clone(), &settings.store);
     Ok(Rc::new(Shared {
         meters: Meters::new()?,
-        dialect: (adapter.dialect)(),
+        codec: (adapter.codec)(),
         reader: Reader::new(store.clone()),
         feed: Feed::default(),
         relay: Relay::default(),
@@ -140,7 +140,7 @@
         readers: (0..parts).map(|_| Cell::new(0)).collect(),
         listed: (0..parts).map(|_| Notify::new()).collect(),
         outbox: (0..parts).map(|_| outbox::Outbox::default()).collect(),
-        texts: Texts::default(),
+        texts: TextCache::default(),
         turns: RefCell::default(),
         usage: usage::Usage::default(),
         unsaved: suspects::Unsaved::default(),
@@ -162,12 +162,12 @@
     let metrics = TcpListener::bind(settings.metrics_listen).await?;
     let peer_listener = TcpListener::bind(settings.peer_listen).await?;
     log::info!("{} listens on {}, settings {}", shared.me, settings.listen, path.display());
-    let open = Rc::new(ingress::Open::default());
+    let open = Rc::new(ingress::OpenRequests::default());
     let spawn = tokio::task::spawn_local::<std::pin::Pin<Box<dyn Future<Output = ()>>>>;
     // In the order in which they are read from the store at a start: what is
     // small and needed for every request before the jobs.
-    spawn(Box::pin(follow::wishes(shared.clone())));
-    spawn(Box::pin(plans::serve(shared.clone())));
+    spawn(Box::pin(follow::commands(shared.clone())));
+    spawn(Box::pin(configuration::serve(shared.clone())));
     spawn(Box::pin(follow::fleet(shared.clone())));
     spawn(Box::pin(news::serve(shared.clone())));
     spawn(Box::pin(suspects::serve(shared.clone())));
@@ -195,7 +195,7 @@
     Ok(())
 }
 
-async fn stop(shared: &Rc<Shared>, open: &ingress::Open) {
+async fn stop(shared: &Rc<Shared>, open: &ingress::OpenRequests) {
     log::info!("stopping: {} requests open", open.count());
     let end = tokio::time::Instant::now() + shared.settings.times.grace.mul_f64(GRACE_SHARE);
     {
