--- a/crates/hollywell/src/core/choice.rs
+++ b/crates/hollywell/src/core/choice.rs
@@ -289,7 +289,7 @@
     /// let target = |id: &str| Announcement {
     ///     id: id.into(), pool: "wadi-gen".into(), address: ([127, 0, 0, 1], 80).into(),
     ///     domain: "ruwi-hall".into(), slots: 1, draining: false, cold: false,
-    ///     versions: Default::default(), born: None, beats: 0,
+    ///     versions: Default::default(), start_ms: None, sequence: 0,
     /// };
     /// let (a, b) = (target("a"), target("b"));
     /// let need = Need { events: 20.0, max_load: 1.0, instances: 1.0, salt: 0 };
--- a/crates/hollywell/src/core/dispatch/leave.rs
+++ b/crates/hollywell/src/core/dispatch/leave.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeSet;
 
 use super::{
-    Effect, MoveReason, Progress, Run, Running, Slot, Stage, State, TOKENS_PER_EVENT,
+    Effect, MoveReason, Progress, Run, Running, SampleId, Stage, State, TOKENS_PER_EVENT,
     locality::{self, Selector},
 };
 use crate::core::{
@@ -82,7 +82,7 @@
         };
         let counted = self.target_count.filter(is_kept);
         let (at, targets) = counted.unwrap_or_else(|| {
-            let pools: BTreeSet<&str> = self.jobs.values().map(|o| o.work.pool.as_str()).collect();
+            let pools: BTreeSet<&str> = self.jobs.values().map(|o| o.spec.pool.as_str()).collect();
             (now, pools.iter().map(|pool| fleet.usable(pool).count()).sum())
         });
         self.target_count = Some((at, targets));
@@ -98,7 +98,7 @@
             let samples = active.progress.iter().filter(runs).count();
             if samples > 0 {
                 let selector = Selector { salt, domain: &self.domain, samples };
-                active.locality.refresh(now, selector, &active.work, fleet, observations);
+                active.locality.refresh(now, selector, &active.spec, fleet, observations);
             }
         }
     }
@@ -119,13 +119,13 @@
         }
         // A target that has restarted knows nothing of the run.
         let target = fleet.targets.get(&running.target);
-        if target.is_none_or(|target| target.announcement.born != running.born) {
+        if target.is_none_or(|target| target.announcement.start_ms != running.start_ms) {
             return Some(MoveReason::Gone);
         }
         // A run that this instance could not restart stays where it is: while a
         // partition of jobs could not be read, samples of its jobs that had
         // left a slow target stood still for 4.4 s (log of one test day).
-        if !self.may_start(&running.slot) {
+        if !self.may_start(&running.sample_id) {
             return None;
         }
         let pace = observations.pace_of(&running.target);
@@ -148,9 +148,9 @@
 
     /// Whether a sample is assigned to this instance and its job is known to be
     /// open.
-    fn may_start(&self, slot: &Slot) -> bool {
-        self.jobs.get(&slot.job).is_some_and(|active| {
-            active.progress[slot.at].assigned && !self.stale.contains(&active.work.part)
+    fn may_start(&self, sample_id: &SampleId) -> bool {
+        self.jobs.get(&sample_id.job).is_some_and(|active| {
+            active.progress[sample_id.index].assigned && !self.stale.contains(&active.spec.part)
         })
     }
 
@@ -162,25 +162,26 @@
         fleet: &Fleet,
         observations: &Observations,
     ) -> Option<String> {
-        let active = self.jobs.get(&running.slot.job)?;
-        let work = &active.work;
+        let active = self.jobs.get(&running.sample_id.job)?;
+        let spec = &active.spec;
         let events = self.events_left(running);
         let instances = self.members.len() as f64;
         let need = Need { events, max_load: MOVE_MAX_LOAD, instances, salt: 0 };
-        let targets = active.locality.targets(work, fleet).into_iter();
+        let targets = active.locality.targets(spec, fleet).into_iter();
         let targets = targets.filter(|announcement| announcement.id != running.target).filter(
-            |announcement| announcement.versions.get(&work.model) >= Some(&work.min_version),
+            |announcement| announcement.versions.get(&spec.model) >= Some(&spec.min_version),
         );
         observations.choose(now, targets, need).map(|target| target.id.clone())
     }
 
     /// Expected number of events until a run is complete.
     fn events_left(&self, running: &Running) -> f64 {
-        let Some(active) = self.jobs.get(&running.slot.job) else {
+        let Some(active) = self.jobs.get(&running.sample_id.job) else {
             return 0.0;
         };
-        let received = f64::from(active.progress[running.slot.at].events + running.events);
-        let estimate = f64::from(active.work.samples[running.slot.at].tokens) / TOKENS_PER_EVENT;
+        let received = f64::from(active.progress[running.sample_id.index].events + running.events);
+        let estimate =
+            f64::from(active.spec.samples[running.sample_id.index].tokens) / TOKENS_PER_EVENT;
         (estimate - received).max(received * TAIL_SHARE).max(1.0)
     }
 
@@ -201,11 +202,11 @@
             MoveReason::Gone | MoveReason::Slow => {}
         }
         self.cancel(run, observations, effects);
-        if let Some(active) = self.jobs.get_mut(&running.slot.job) {
-            let progress = &mut active.progress[running.slot.at];
+        if let Some(active) = self.jobs.get_mut(&running.sample_id.job) {
+            let progress = &mut active.progress[running.sample_id.index];
             progress.stage = Stage::Idle;
             progress.events += running.events;
         }
-        effects.push(Effect::Moved { slot: running.slot, target: running.target, why });
+        effects.push(Effect::Moved { sample_id: running.sample_id, target: running.target, why });
     }
 }
--- a/crates/hollywell/src/core/dispatch/locality.rs
+++ b/crates/hollywell/src/core/dispatch/locality.rs
@@ -10,7 +10,7 @@
 //! selections. Targets that are avoided are left out, so that those of a lost
 //! domain are replaced by others.
 
-use super::Work;
+use super::JobSpec;
 use crate::core::{
     choice::Observations,
     fleet::{Announcement, Fleet, Target},
@@ -60,7 +60,7 @@
         &mut self,
         now: Time,
         selector: Selector<'_>,
-        work: &Work,
+        spec: &JobSpec,
         fleet: &Fleet,
         observations: &Observations,
     ) {
@@ -70,7 +70,7 @@
             return;
         }
         let is_suitable = |target: &&Target| {
-            target.may_run(&work.model, work.min_version)
+            target.may_run(&spec.model, spec.min_version)
                 && !observations.is_avoided(now, &target.announcement.id)
         };
         let rank = |target: &Target| {
@@ -78,7 +78,7 @@
             let hash = xxhash_rust::xxh3::xxh3_64_with_seed(id, selector.salt);
             (target.announcement.domain != selector.domain, hash)
         };
-        let all = fleet.usable(&work.pool).filter(is_suitable);
+        let all = fleet.usable(&spec.pool).filter(is_suitable);
         let mut all: Vec<_> = all.map(|target| (rank(target), &target.announcement.id)).collect();
         let limit = MIN_SELECTION.max(selector.samples * TARGETS_PER_SAMPLE);
         if all.len() > limit {
@@ -90,18 +90,18 @@
     }
 
     /// The targets to consider for a job's samples.
-    pub(super) fn targets<'a>(&self, work: &'a Work, fleet: &'a Fleet) -> Vec<&'a Announcement> {
-        let is_suitable = |target: &&Target| target.may_run(&work.model, work.min_version);
+    pub(super) fn targets<'a>(&self, spec: &'a JobSpec, fleet: &'a Fleet) -> Vec<&'a Announcement> {
+        let is_suitable = |target: &&Target| target.may_run(&spec.model, spec.min_version);
         if is_small(fleet) {
             return fleet
-                .usable(&work.pool)
+                .usable(&spec.pool)
                 .filter(is_suitable)
                 .map(|target| &target.announcement)
                 .collect();
         }
         let selected = self.ids.iter().filter_map(|id| fleet.targets.get(id));
         let is_usable =
-            |target: &&Target| target.announcement.pool == work.pool && fleet.accepts(target);
+            |target: &&Target| target.announcement.pool == spec.pool && fleet.accepts(target);
         selected.filter(is_usable).filter(is_suitable).map(|target| &target.announcement).collect()
     }
 }
--- a/crates/hollywell/src/core/dispatch/mod.rs
+++ b/crates/hollywell/src/core/dispatch/mod.rs
@@ -57,11 +57,12 @@
 
 /// Identifies a sample of a job.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Slot {
+pub struct SampleId {
     /// The job's id.
     pub job: String,
     /// Index of the sample in the job's submission.
-    pub at: usize,
+    #[serde(rename = "at")]
+    pub index: usize,
 }
 
 /// One execution of a sample at a target.
@@ -102,7 +103,7 @@
 
 /// What the reducer needs to know of a sample.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Item {
+pub struct SampleSpec {
     /// The group; all samples of a group are run by one instance.
     pub group: String,
     /// Estimated number of tokens to generate.
@@ -114,7 +115,7 @@
 
 /// What the reducer needs to know of a job.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Work {
+pub struct JobSpec {
     /// The job's id.
     pub job: String,
     /// The partition of the store that holds the record of the job's end.
@@ -126,11 +127,12 @@
     /// The oldest version of the weights that may generate it.
     pub min_version: u64,
     /// Number of failures after which a sample may be given up.
-    pub attempts: u32,
+    #[serde(rename = "attempts")]
+    pub max_attempts: u32,
     /// The time after which unfinished samples may be given up.
     pub keep_until: Time,
     /// The samples, in the order of the submission.
-    pub samples: Vec<Item>,
+    pub samples: Vec<SampleSpec>,
     /// For each sample, whether its result was already in the store.
     pub done: Vec<bool>,
 }
@@ -141,9 +143,10 @@
     /// Time passed.
     Tick,
     /// A job was accepted.
-    Opened(Work),
+    Opened(JobSpec),
     /// A sample's result was read from the store.
-    Listed(Slot),
+    #[serde(rename = "Listed")]
+    ResultStored(SampleId),
     /// A job was ended, or its records were deleted.
     Closed(String),
     /// The live instances changed.
@@ -175,16 +178,19 @@
         end: End,
     },
     /// Another instance has stored a sample's partial text up to an event.
-    Ahead {
+    #[serde(rename = "Ahead")]
+    PartialTextStored {
         /// The sample.
-        slot: Slot,
+        #[serde(rename = "slot")]
+        sample_id: SampleId,
         /// Index of the last stored event.
         last: u32,
     },
     /// A complete sample was scored.
-    Scored(Slot),
+    Scored(SampleId),
     /// Scoring a sample failed permanently.
-    Unscored(Slot),
+    #[serde(rename = "Unscored")]
+    ScoringFailed(SampleId),
 }
 
 /// Output of the reducer: an action for the driver.
@@ -196,7 +202,8 @@
         /// The run.
         run: Run,
         /// The sample.
-        slot: Slot,
+        #[serde(rename = "slot")]
+        sample_id: SampleId,
         /// The target's id.
         target: String,
         /// Priority at the target; 0 is the highest.
@@ -207,20 +214,21 @@
     /// A run left its target; for logs and metrics only.
     Moved {
         /// The sample.
-        slot: Slot,
+        #[serde(rename = "slot")]
+        sample_id: SampleId,
         /// The target that the run left.
         target: String,
         /// The reason.
         why: MoveReason,
     },
     /// Discard the stored partial text of a sample.
-    Discard(Slot),
+    Discard(SampleId),
     /// Send the scoring request of a complete sample.
-    Score(Slot),
+    Score(SampleId),
     /// Append a sample's result to the store.
-    Deliver(Slot),
+    Deliver(SampleId),
     /// Append to the store that a sample is given up.
-    GiveUp(Slot),
+    GiveUp(SampleId),
 }
 
 /// Why a run leaves its target. The variant names are written to logs and
@@ -258,10 +266,10 @@
 
 #[derive(Clone, Debug)]
 struct Running {
-    slot: Slot,
+    sample_id: SampleId,
     target: String,
     /// The target's start time as known when the run began.
-    born: Option<u64>,
+    start_ms: Option<u64>,
     answered: bool,
     last_event_at: Time,
     events: u32,
@@ -269,7 +277,7 @@
 
 #[derive(Clone, Debug)]
 struct ActiveJob {
-    work: Work,
+    spec: JobSpec,
     progress: Vec<Progress>,
     /// Sample indices in the order in which they are started.
     order: Vec<usize>,
@@ -302,9 +310,9 @@
 
 impl State {
     /// The state of an instance that knows of no member, not even itself; it
-    /// runs nothing until [`Event::Members`]. Counting itself alone does not
-    /// work: each starting instance ran all samples of all jobs until it had
-    /// read the membership.
+    /// runs nothing until [`Event::Members`]. Counting itself as the only
+    /// member was tried: each starting instance ran all samples of all jobs at
+    /// once, until it had read the membership.
     #[must_use]
     pub fn new(own_id: &str) -> State {
         State { own_id: own_id.to_owned(), ..State::default() }
@@ -334,8 +342,10 @@
         self.now = now;
         match event {
             Event::Tick => self.check_runs(now, fleet, observations, &mut effects),
-            Event::Opened(work) => self.open(work.clone()),
-            Event::Listed(slot) => self.result_read(slot, observations, &mut effects),
+            Event::Opened(spec) => self.open(spec.clone()),
+            Event::ResultStored(sample_id) => {
+                self.result_read(sample_id, observations, &mut effects);
+            }
             Event::Closed(job) => self.close(job, observations, &mut effects),
             Event::Members(members) => self.set_members(members),
             Event::Stale { part, stale: true } => {
@@ -347,14 +357,14 @@
             Event::AnswerStarted { run } => self.answer_started(now, *run),
             Event::StreamEvent { run } => self.stream_event(now, *run, observations),
             Event::Ended { run, end } => self.ended(now, *run, *end, observations, &mut effects),
-            Event::Ahead { slot, last } => {
-                self.restart_if_behind(slot, *last, observations, &mut effects)
+            Event::PartialTextStored { sample_id, last } => {
+                self.restart_if_behind(sample_id, *last, observations, &mut effects);
             }
-            Event::Scored(slot) => {
-                self.scoring_ended(slot, Effect::Deliver(slot.clone()), &mut effects);
+            Event::Scored(sample_id) => {
+                self.scoring_ended(sample_id, Effect::Deliver(sample_id.clone()), &mut effects);
             }
-            Event::Unscored(slot) => {
-                self.scoring_ended(slot, Effect::GiveUp(slot.clone()), &mut effects);
+            Event::ScoringFailed(sample_id) => {
+                self.scoring_ended(sample_id, Effect::GiveUp(sample_id.clone()), &mut effects);
             }
         }
         if !matches!(event, Event::AnswerStarted { .. } | Event::StreamEvent { .. }) {
@@ -363,49 +373,49 @@
         effects
     }
 
-    fn open(&mut self, work: Work) {
-        if self.jobs.contains_key(&work.job) {
+    fn open(&mut self, spec: JobSpec) {
+        if self.jobs.contains_key(&spec.job) {
             return;
         }
-        let owners = Owners::new(&self.members, &work);
-        let progress = |(at, item): (usize, &Item)| Progress {
-            stage: if work.done[at] { Stage::Done } else { Stage::Idle },
+        let owners = Owners::new(&self.members, &spec);
+        let progress = |(at, item): (usize, &SampleSpec)| Progress {
+            stage: if spec.done[at] { Stage::Done } else { Stage::Idle },
             assigned: owners.is_owner(&item.group, &self.own_id),
             not_before: Time(0),
             failures: 0,
             events: 0,
         };
-        let progress: Vec<Progress> = work.samples.iter().enumerate().map(progress).collect();
-        let mut order: Vec<usize> = (0..work.samples.len()).collect();
+        let progress: Vec<Progress> = spec.samples.iter().enumerate().map(progress).collect();
+        let mut order: Vec<usize> = (0..spec.samples.len()).collect();
         // Resumed samples first, since the trainer waits for them; then the
         // longest first, since a step ends with its longest sample.
         order.sort_by_key(|at| {
-            let item = &work.samples[*at];
+            let item = &spec.samples[*at];
             (!item.carried, std::cmp::Reverse(item.tokens))
         });
-        self.arrival.push(work.job.clone());
+        self.arrival.push(spec.job.clone());
         self.jobs.insert(
-            work.job.clone(),
-            ActiveJob { work, progress, order, owners, locality: Locality::default() },
+            spec.job.clone(),
+            ActiveJob { spec, progress, order, owners, locality: Locality::default() },
         );
     }
 
     fn result_read(
         &mut self,
-        slot: &Slot,
+        sample_id: &SampleId,
         observations: &mut Observations,
         effects: &mut Vec<Effect>,
     ) {
-        let Some(active) = self.jobs.get_mut(&slot.job) else {
+        let Some(active) = self.jobs.get_mut(&sample_id.job) else {
             return;
         };
-        let progress = &mut active.progress[slot.at];
+        let progress = &mut active.progress[sample_id.index];
         let stage = std::mem::replace(&mut progress.stage, Stage::Done);
         if let Stage::Running(run) = stage {
             self.cancel(run, observations, effects);
         }
         if stage != Stage::Done {
-            effects.push(Effect::Discard(slot.clone()));
+            effects.push(Effect::Discard(sample_id.clone()));
         }
     }
 
@@ -413,13 +423,13 @@
     /// after a membership change two instances may run the same sample.
     fn restart_if_behind(
         &mut self,
-        slot: &Slot,
+        sample_id: &SampleId,
         last: u32,
         observations: &mut Observations,
         effects: &mut Vec<Effect>,
     ) {
         let Some(progress) =
-            self.jobs.get_mut(&slot.job).map(|active| &mut active.progress[slot.at])
+            self.jobs.get_mut(&sample_id.job).map(|active| &mut active.progress[sample_id.index])
         else {
             return;
         };
@@ -444,7 +454,7 @@
                 self.cancel(run, observations, effects);
             }
             if progress.stage != Stage::Done {
-                effects.push(Effect::Discard(Slot { job: job.to_owned(), at }));
+                effects.push(Effect::Discard(SampleId { job: job.to_owned(), index: at }));
             }
         }
     }
@@ -452,8 +462,8 @@
     fn set_members(&mut self, members: &[String]) {
         let change = Change::between(&self.members, members);
         for active in self.jobs.values_mut() {
-            active.owners.change(&active.work.job, members, &change);
-            for (item, progress) in active.work.samples.iter().zip(&mut active.progress) {
+            active.owners.change(&active.spec.job, members, &change);
+            for (item, progress) in active.spec.samples.iter().zip(&mut active.progress) {
                 progress.assigned = active.owners.is_owner(&item.group, &self.own_id);
             }
         }
@@ -493,21 +503,21 @@
         if matches!(end, End::Broken | End::Unreached | End::WrongVersion) {
             observations.connection_closed(&running.target);
         }
-        let Some(active) = self.jobs.get_mut(&running.slot.job) else {
+        let Some(active) = self.jobs.get_mut(&running.sample_id.job) else {
             return;
         };
-        let attempts = active.work.attempts.max(1);
-        let progress = &mut active.progress[running.slot.at];
+        let attempts = active.spec.max_attempts.max(1);
+        let progress = &mut active.progress[running.sample_id.index];
         progress.stage = Stage::Idle;
         progress.events += running.events;
         match end {
             End::Whole => {
                 observations.record_success(now, &running.target);
                 progress.stage = Stage::Scoring;
-                effects.push(Effect::Score(running.slot));
+                effects.push(Effect::Score(running.sample_id));
             }
             End::Full | End::Misdirected | End::Stale => {
-                observations.record_refusal(now, &running.target)
+                observations.record_refusal(now, &running.target);
             }
             End::Unready => progress.not_before = now.after(UNREADY_MS),
             End::Held => progress.not_before = now.after(HELD_MS),
@@ -518,26 +528,26 @@
             End::WrongVersion => {
                 progress.events = 0;
                 observations.record_refusal(now, &running.target);
-                effects.push(Effect::Discard(running.slot));
+                effects.push(Effect::Discard(running.sample_id));
             }
             End::Failed => {
                 progress.failures += 1;
                 progress.not_before = now.after(BACKOFF_MS * u64::from(progress.failures));
                 if progress.failures >= attempts {
                     progress.stage = Stage::Delivering;
-                    effects.push(Effect::GiveUp(running.slot));
+                    effects.push(Effect::GiveUp(running.sample_id));
                 }
             }
             End::Impossible => {
                 progress.stage = Stage::Delivering;
-                effects.push(Effect::GiveUp(running.slot));
+                effects.push(Effect::GiveUp(running.sample_id));
             }
         }
     }
 
-    fn scoring_ended(&mut self, slot: &Slot, effect: Effect, effects: &mut Vec<Effect>) {
-        let active = self.jobs.get_mut(&slot.job);
-        let Some(progress) = active.map(|active| &mut active.progress[slot.at]) else {
+    fn scoring_ended(&mut self, sample_id: &SampleId, effect: Effect, effects: &mut Vec<Effect>) {
+        let active = self.jobs.get_mut(&sample_id.job);
+        let Some(progress) = active.map(|active| &mut active.progress[sample_id.index]) else {
             return;
         };
         if progress.stage == Stage::Scoring {
@@ -556,14 +566,15 @@
 
     fn give_up_expired(&mut self, now: Time, effects: &mut Vec<Effect>) {
         for active in self.jobs.values_mut() {
-            if now < active.work.keep_until {
+            if now < active.spec.keep_until {
                 continue;
             }
             for at in 0..active.progress.len() {
                 let progress = &mut active.progress[at];
                 if progress.assigned && progress.stage == Stage::Idle {
                     progress.stage = Stage::Delivering;
-                    effects.push(Effect::GiveUp(Slot { job: active.work.job.clone(), at }));
+                    effects
+                        .push(Effect::GiveUp(SampleId { job: active.spec.job.clone(), index: at }));
                 }
             }
         }
@@ -581,10 +592,10 @@
             let Some(active) = self.jobs.get_mut(job) else {
                 continue;
             };
-            if self.stale.contains(&active.work.part) {
+            if self.stale.contains(&active.spec.part) {
                 continue;
             }
-            let longest = active.work.samples.iter().map(|item| item.tokens).max().unwrap_or(1);
+            let longest = active.spec.samples.iter().map(|item| item.tokens).max().unwrap_or(1);
             let is_due = |progress: &Progress| {
                 progress.assigned && progress.stage == Stage::Idle && now >= progress.not_before
             };
@@ -593,16 +604,16 @@
             }
             let samples = active.progress.iter().filter(|progress| progress.assigned).count();
             let selector = Selector { salt, domain: &self.domain, samples };
-            active.locality.refresh(now, selector, &active.work, fleet, observations);
-            let work = &active.work;
-            let targets = active.locality.targets(work, fleet);
+            active.locality.refresh(now, selector, &active.spec, fleet, observations);
+            let spec = &active.spec;
+            let targets = active.locality.targets(spec, fleet);
             for &at in &active.order {
                 let progress = &mut active.progress[at];
                 if !is_due(progress) {
                     continue;
                 }
                 let need = Need {
-                    events: f64::from(work.samples[at].tokens) / TOKENS_PER_EVENT,
+                    events: f64::from(spec.samples[at].tokens) / TOKENS_PER_EVENT,
                     max_load: MAX_LOAD,
                     instances: self.members.len() as f64,
                     salt: salt ^ self.next_run,
@@ -615,18 +626,18 @@
                 self.next_run += 1;
                 progress.stage = Stage::Running(run);
                 observations.request_started(&target.id);
-                let slot = Slot { job: job.clone(), at };
+                let sample_id = SampleId { job: job.clone(), index: at };
                 let running = Running {
-                    slot: slot.clone(),
+                    sample_id: sample_id.clone(),
                     target: target.id.clone(),
-                    born: target.born,
+                    start_ms: target.start_ms,
                     answered: false,
                     last_event_at: now,
                     events: 0,
                 };
                 self.runs.insert(run, running);
-                let priority = priority(&work.samples[at], longest);
-                effects.push(Effect::Start { run, slot, target: target.id.clone(), priority });
+                let priority = priority(&spec.samples[at], longest);
+                effects.push(Effect::Start { run, sample_id, target: target.id.clone(), priority });
             }
         }
     }
@@ -635,7 +646,7 @@
 /// Priority of a sample at a target, 4 to 8: resumed samples first, then the
 /// longer the sample, the higher its priority. Live traffic has priority over
 /// all samples.
-fn priority(item: &Item, longest: u32) -> u8 {
+fn priority(item: &SampleSpec, longest: u32) -> u8 {
     const FIRST: u64 = 4;
     const STEPS: u64 = 4;
     if item.carried {
--- a/crates/hollywell/src/core/dispatch/owners.rs
+++ b/crates/hollywell/src/core/dispatch/owners.rs
@@ -8,7 +8,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use super::Work;
+use super::JobSpec;
 
 /// The live instance that runs a group of a job: the one with the highest hash,
 /// so that a membership change moves only the groups that it must.
@@ -46,9 +46,9 @@
 
 impl Owners {
     /// Computes the owners among the members.
-    pub(super) fn new(members: &[String], work: &Work) -> Owners {
-        let groups: BTreeSet<&str> = work.samples.iter().map(|item| item.group.as_str()).collect();
-        let owned = |group: &str| owner(members, &work.job, group).map(str::to_owned);
+    pub(super) fn new(members: &[String], spec: &JobSpec) -> Owners {
+        let groups: BTreeSet<&str> = spec.samples.iter().map(|item| item.group.as_str()).collect();
+        let owned = |group: &str| owner(members, &spec.job, group).map(str::to_owned);
         let by_group = groups.into_iter().map(|group| (group.to_owned(), owned(group))).collect();
         Owners { by_group }
     }
--- a/crates/hollywell/src/core/fleet.rs
+++ b/crates/hollywell/src/core/fleet.rs
@@ -52,9 +52,11 @@
     pub versions: BTreeMap<String, u64>,
     /// Unix time of its start in milliseconds; `None` on platforms whose
     /// targets do not report it and where each start has a new id.
-    pub born: Option<u64>,
+    #[serde(rename = "born")]
+    pub start_ms: Option<u64>,
     /// Number of entries that it has written since its start.
-    pub beats: u64,
+    #[serde(rename = "beats")]
+    pub sequence: u64,
 }
 
 impl Announcement {
@@ -62,16 +64,16 @@
     /// incarnation.
     #[must_use]
     pub fn incarnation(&self) -> String {
-        self.born.map_or_else(|| self.id.clone(), |born| format!("{}/{born}", self.id))
+        self.start_ms.map_or_else(|| self.id.clone(), |start_ms| format!("{}/{start_ms}", self.id))
     }
 
     /// Whether this is older than an earlier entry of the same id, given by its
     /// start and its number: it belongs to an earlier incarnation, or has a
     /// smaller number in the same one. Numbers are reliable only for targets
     /// that report their start.
-    fn is_older_than(&self, (born, beats): (Option<u64>, u64)) -> bool {
-        match (self.born, born) {
-            (Some(own), Some(other)) => (own, self.beats) < (other, beats),
+    fn is_older_than(&self, (start_ms, sequence): (Option<u64>, u64)) -> bool {
+        match (self.start_ms, start_ms) {
+            (Some(own), Some(other)) => (own, self.sequence) < (other, sequence),
             (None, Some(_)) => true,
             (_, None) => false,
         }
@@ -122,8 +124,10 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct Gone {
     address: SocketAddr,
-    born: Option<u64>,
-    beats: u64,
+    #[serde(rename = "born")]
+    start_ms: Option<u64>,
+    #[serde(rename = "beats")]
+    sequence: u64,
     at: Time,
 }
 
@@ -158,18 +162,20 @@
     /// a target that runs a newer version than it announces has just loaded it.
     pub fn announce(&mut self, now: Time, mut announcement: Announcement) -> AnnounceOutcome {
         let id = announcement.id.clone();
-        let gone = self.gone.get(&id).map(|gone| (gone.address, gone.born, gone.beats));
+        let gone = self.gone.get(&id).map(|gone| (gone.address, gone.start_ms, gone.sequence));
         let known = self.targets.get(&id);
         let known = known.map(|known| {
-            (known.announcement.address, known.announcement.born, known.announcement.beats)
+            (known.announcement.address, known.announcement.start_ms, known.announcement.sequence)
         });
         let before = known.or(gone);
-        if before.is_some_and(|(_, born, beats)| announcement.is_older_than((born, beats))) {
+        if before
+            .is_some_and(|(_, start_ms, sequence)| announcement.is_older_than((start_ms, sequence)))
+        {
             return AnnounceOutcome::Outdated;
         }
         self.skipped.remove(&id);
         self.gone.remove(&id);
-        let restarted = before.filter(|(_, born, _)| *born != announcement.born);
+        let restarted = before.filter(|(_, start_ms, _)| *start_ms != announcement.start_ms);
         if restarted.is_none()
             && let Some(before) = self.targets.get(&id)
         {
@@ -207,7 +213,7 @@
 
     fn update_reports_start(&mut self) {
         let reports = |target: &Target| {
-            target.announcement.born.is_some() && self.is_known_pool(&target.announcement.pool)
+            target.announcement.start_ms.is_some() && self.is_known_pool(&target.announcement.pool)
         };
         self.starts_reported = self.starts_reported || self.targets.values().any(reports);
     }
@@ -228,8 +234,8 @@
         if let Some(Target { announcement, .. }) = self.targets.remove(id) {
             let gone = Gone {
                 address: announcement.address,
-                born: announcement.born,
-                beats: announcement.beats,
+                start_ms: announcement.start_ms,
+                sequence: announcement.sequence,
                 at: now,
             };
             self.gone.insert(id.to_owned(), gone);
@@ -239,25 +245,26 @@
     /// Records the start time that a target reported beside its versions.
     /// Returns whether it has restarted since its last entry: then it holds
     /// only the versions that it has reported since.
-    pub fn record_start(&mut self, id: &str, born: Option<u64>) -> bool {
+    pub fn record_start(&mut self, id: &str, start_ms: Option<u64>) -> bool {
         let Some(target) = self.targets.get_mut(id) else {
             return false;
         };
-        let is_new =
-            born.is_some_and(|born| target.announcement.born.is_some_and(|known| born > known));
+        let is_new = start_ms.is_some_and(|start_ms| {
+            target.announcement.start_ms.is_some_and(|known| start_ms > known)
+        });
         if is_new {
-            target.announcement.born = born;
-            target.announcement.beats = 0;
+            target.announcement.start_ms = start_ms;
+            target.announcement.sequence = 0;
             target.announcement.versions.clear();
         }
         is_new
     }
 
     /// Records the version that a target's own answer named, in the incarnation
-    /// that started at `born`.
-    pub fn record_version(&mut self, id: &str, born: Option<u64>, model: &str, version: u64) {
+    /// that started at `start_ms`.
+    pub fn record_version(&mut self, id: &str, start_ms: Option<u64>, model: &str, version: u64) {
         if let Some(target) = self.targets.get_mut(id)
-            && target.announcement.born == born
+            && target.announcement.start_ms == start_ms
         {
             let known = target.announcement.versions.entry(model.to_owned()).or_insert(version);
             *known = (*known).max(version);
@@ -319,7 +326,7 @@
     /// entry without one does not come from a target.
     #[must_use]
     pub fn accepts(&self, target: &Target) -> bool {
-        let is_complete = target.announcement.born.is_some() || !self.starts_reported;
+        let is_complete = target.announcement.start_ms.is_some() || !self.starts_reported;
         let is_in_use = !self.evacuated.contains(&target.announcement.domain);
         is_complete && is_in_use && !target.announcement.draining && !target.invalid_entry
     }
--- a/crates/hollywell/src/core/mod.rs
+++ b/crates/hollywell/src/core/mod.rs
@@ -22,7 +22,7 @@
 //! | [`group`] | whether a reading of the group of instances shows all members |
 //! | [`poison`] | which requests end the targets that run them |
 //! | [`turn`] | what one party of all does at a time |
-//! | [`capacity`] | which appends the store's capacity is reserved for, and how far a log is trimmed |
+//! | [`capacity`] | what the store's capacity is reserved for, and how far a log is trimmed |
 //!
 //! What it leaves out: bodies, sockets and threads, which are in
 //! [`crate::traffic`], [`crate::peer`] and [`crate::control`].
--- a/crates/hollywell/src/core/poison.rs
+++ b/crates/hollywell/src/core/poison.rs
@@ -110,13 +110,13 @@
 /// Number of ends from which on a request that may or may not be to blame waits
 /// before it is run again: where several poison requests arrive together all
 /// the time, none stands out, and each end would lead to the next.
-const DOUBTFUL: u32 = TARGET_END_LIMIT + 1;
+const DOUBT_THRESHOLD: u32 = TARGET_END_LIMIT + 1;
 /// Duration of that wait in milliseconds, by the number of ends since
-/// [`DOUBTFUL`]; the last entry applies to all further ends. It is short at
-/// first, so that a request that was there by chance is served soon. Spread out
-/// like this, a request rarely coincides with another suspect, and is either
-/// served or stands out. After three more attempts it has to be treated as if
-/// it were to blame.
+/// [`DOUBT_THRESHOLD`]; the last entry applies to all further ends. It is short
+/// at first, so that a request that was there by chance is served soon. Spread
+/// out like this, a request rarely coincides with another suspect, and is
+/// either served or stands out. After three more attempts it has to be treated
+/// as if it were to blame.
 const DOUBT_MS: [u64; 4] = [2_000, 8_000, 120_000, 600_000];
 /// How long a request is held after the last target that it ended, in
 /// milliseconds: the software of the targets may be fixed by then. Twice as
@@ -125,7 +125,7 @@
 const HOLD_MS: u64 = 600_000;
 /// Maximum number of doublings of [`HOLD_MS`], which gives up to a day and a
 /// half.
-const HOLD_DOUBLINGS: u32 = 8;
+const MAX_HOLD_DOUBLINGS: u32 = 8;
 /// How long a request that is not held is suspected, in milliseconds: callers
 /// retry within seconds.
 const SUSPECT_MS: u64 = 600_000;
@@ -213,14 +213,14 @@
     }
 
     fn hold_ms(&self) -> u64 {
-        HOLD_MS << self.ends.saturating_sub(TARGET_END_LIMIT).min(HOLD_DOUBLINGS)
+        HOLD_MS << self.ends.saturating_sub(TARGET_END_LIMIT).min(MAX_HOLD_DOUBLINGS)
     }
 
     /// How long the request waits if it may or may not be to blame;
     /// `stands_out` if no other request that was there was at as many ends.
     fn doubt_ms(&self, stands_out: bool) -> u64 {
         let ends = self.ends + u32::from(stands_out);
-        match ends.checked_sub(DOUBTFUL) {
+        match ends.checked_sub(DOUBT_THRESHOLD) {
             None => 0,
             Some(more) => DOUBT_MS[(more as usize).min(DOUBT_MS.len() - 1)],
         }
--- a/crates/hollywell/src/core/roster.rs
+++ b/crates/hollywell/src/core/roster.rs
@@ -172,8 +172,8 @@
         self.full = full;
     }
 
-    /// Applies a reading; returns whether the members changed. `recovered_at` is
-    /// when the store last recovered from an outage.
+    /// Applies a reading; returns whether the members changed. `recovered_at`
+    /// is when the store last recovered from an outage.
     pub fn read(&mut self, now: Time, read: &[String], recovered_at: Option<Time>) -> bool {
         let mut members = read.to_vec();
         let listed: BTreeSet<&str> = read.iter().map(String::as_str).collect();
--- a/crates/hollywell/src/core/weight_loading.rs
+++ b/crates/hollywell/src/core/weight_loading.rs
@@ -127,9 +127,9 @@
 
     /// The range of engines, of those that hold certain models, that keeps one
     /// of the models current. The models' ranges follow one another around the
-    /// engines; each is [`MODELS_PER_ENGINE`] times the model's share of the requested
-    /// tokens, and at most `max_share`. `None` if the engines do not hold the
-    /// model.
+    /// engines; each is [`MODELS_PER_ENGINE`] times the model's share of the
+    /// requested tokens, and at most `max_share`. `None` if the engines do not
+    /// hold the model.
     fn range(&self, held: &BTreeMap<String, u64>, model: &str, max_share: f64) -> Option<Range> {
         let tokens = |model: &String| self.tokens.get(model).copied().unwrap_or(1).max(1) as f64;
         let models = || self.newest.keys().filter(|model| held.contains_key(*model));
@@ -235,14 +235,14 @@
     pub version: u64,
     /// The engine's start time as known when the order was given: loaded
     /// weights are lost with a restart.
-    #[serde(default)]
-    pub born: Option<u64>,
+    #[serde(default, rename = "born")]
+    pub start_ms: Option<u64>,
 }
 
 #[derive(Clone, Debug)]
 struct Pending {
     sent_at: Time,
-    born: Option<u64>,
+    start_ms: Option<u64>,
     model: String,
     version: u64,
 }
@@ -270,7 +270,8 @@
         self.pending.retain(|id, order| {
             let target = fleet.targets.get(id);
             let has = target.and_then(|target| target.announcement.versions.get(&order.model));
-            let same_start = target.is_none_or(|target| target.announcement.born == order.born);
+            let same_start =
+                target.is_none_or(|target| target.announcement.start_ms == order.start_ms);
             same_start && has < Some(&order.version) && now.since(order.sent_at) < ORDER_TIMEOUT_MS
         });
         let mut wanted = Vec::new();
@@ -298,10 +299,10 @@
                 break;
             }
             if orders.iter().all(|order| order.target != target) {
-                let born = fleet.targets[&target].announcement.born;
-                let order = Pending { sent_at: now, born, model: model.clone(), version };
+                let start_ms = fleet.targets[&target].announcement.start_ms;
+                let order = Pending { sent_at: now, start_ms, model: model.clone(), version };
                 self.pending.insert(target.clone(), order);
-                orders.push(Order { target, model, version, born });
+                orders.push(Order { target, model, version, start_ms });
             }
         }
         orders
--- a/crates/hollywell/src/entry/feed.rs
+++ b/crates/hollywell/src/entry/feed.rs
@@ -136,7 +136,7 @@
         let Ok(said) = (shared.codec.announcement)(&record.key, value) else {
             return true;
         };
-        let said = Announcement { beats: 0, ..said };
+        let said = Announcement { sequence: 0, ..said };
         self.said.insert(record.key.clone(), said.clone()) != Some(said)
     }
 
--- a/crates/hollywell/src/entry/follow.rs
+++ b/crates/hollywell/src/entry/follow.rs
@@ -336,7 +336,7 @@
 }
 
 fn announced(shared: &Shared, world: &mut World, now: Time, said: Announcement) {
-    let (id, born) = (said.id.clone(), said.born);
+    let (id, born) = (said.id.clone(), said.start_ms);
     match world.fleet.announce(now, said) {
         AnnounceOutcome::Accepted => {}
         AnnounceOutcome::Outdated => log::info!("entry of {id}, start {born:?}, is out of date"),
--- a/crates/hollywell/src/entry/forward.rs
+++ b/crates/hollywell/src/entry/forward.rs
@@ -181,7 +181,7 @@
     fn may_go_on(&self, route: &Route) -> bool {
         let tried = u32::try_from(self.tried.len()).unwrap_or(u32::MAX);
         let is_safe = route.kind == RouteKind::Idempotent || !self.ran;
-        tried < route.attempts.max(1) && self.ends < MOST_ENDS && is_safe
+        tried < route.max_attempts.max(1) && self.ends < MOST_ENDS && is_safe
     }
 
     /// Takes over what became of a send; an answer that ends the request is
@@ -280,7 +280,7 @@
             tokio::time::sleep(PAUSE).await;
             continue;
         };
-        let last = attempt.tried.len() + 1 >= route.attempts.max(1) as usize;
+        let last = attempt.tried.len() + 1 >= route.max_attempts.max(1) as usize;
         let limit_ms = match route.kind {
             RouteKind::Idempotent if !last => patience(route).min(left_ms),
             _ => left_ms,
@@ -323,7 +323,7 @@
 }
 
 fn patience(route: &Route) -> u64 {
-    (route.target_ms * PATIENCE).clamp(PATIENCE_MS.0, PATIENCE_MS.1)
+    (route.target_latency_ms * PATIENCE).clamp(PATIENCE_MS.0, PATIENCE_MS.1)
 }
 
 fn choose(shared: &Shared, route: &Route, tried: &[String], salt: u64) -> Option<Announcement> {
--- a/crates/hollywell/src/entry/ingress.rs
+++ b/crates/hollywell/src/entry/ingress.rs
@@ -100,7 +100,7 @@
     }
     let idle_ms = {
         let world = shared.world.borrow();
-        world.plan.as_ref().map_or(IDLE_MS, |plan| plan.idle_ms.max(plan.header_ms))
+        world.plan.as_ref().map_or(IDLE_MS, |plan| plan.idle_timeout_ms.max(plan.header_timeout_ms))
     };
     let service = service_fn(|request| {
         let (shared, open) = (shared.clone(), open.clone());
@@ -260,7 +260,7 @@
         head.headers.remove(header::AUTHORIZATION);
         head.headers.remove(&names.organisation);
     }
-    let limit = if plan.body_bytes == 0 { BODY_BYTES } else { plan.body_bytes };
+    let limit = if plan.max_body_bytes == 0 { BODY_BYTES } else { plan.max_body_bytes };
     let body = match Limited::new(body, limit).collect().await {
         Ok(body) => body.to_bytes(),
         Err(error) => {
--- a/crates/hollywell/src/entry/jobs.rs
+++ b/crates/hollywell/src/entry/jobs.rs
@@ -18,7 +18,7 @@
     core::{
         batch::{self, Head, Outcome, Sample, Submission, TextRef},
         capacity::Purpose,
-        dispatch::{Event, Slot},
+        dispatch::{Event, SampleId},
     },
     entry::{
         caller::Caller,
@@ -398,8 +398,8 @@
     let Some(at) = at else {
         return JobReply::NotFound;
     };
-    let slot = Slot { job: job.to_owned(), at };
-    match samples::get(shared, &slot).await {
+    let sample_id = SampleId { job: job.to_owned(), index: at };
+    match samples::get(shared, &sample_id).await {
         Some(sample) => JobReply::Body(sample.body),
         None => JobReply::Unavailable,
     }
@@ -432,20 +432,20 @@
 
 /// Sends a finished sample's scoring request until it is scored or has
 /// failed for good.
-pub async fn score(shared: Rc<Shared>, slot: Slot) {
-    let part = shared.part_of(&slot.job);
+pub async fn score(shared: Rc<Shared>, sample_id: SampleId) {
+    let part = shared.part_of(&sample_id.job);
     let (mut failures, mut tries) = (0, 0);
     loop {
-        let wanted = shared.world.borrow().wants(part, &slot);
+        let wanted = shared.world.borrow().wants(part, &sample_id);
         if !wanted {
             return;
         }
-        let Some(Sample { scorer, .. }) = samples::get(&shared, &slot).await else {
+        let Some(Sample { scorer, .. }) = samples::get(&shared, &sample_id).await else {
             sleep(SCORE_PAUSE).await;
             continue;
         };
         let Some(scorer) = scorer else {
-            shared.tell(&Event::Scored(slot));
+            shared.tell(&Event::Scored(sample_id));
             return;
         };
         let plan = shared.world.borrow().plan.clone();
@@ -455,7 +455,7 @@
             continue;
         };
         // One target at a time: each failure counts.
-        let most = std::mem::replace(&mut route.attempts, 1).max(1);
+        let most = std::mem::replace(&mut route.max_attempts, 1).max(1);
         let plain = PlainRequest {
             method: http::Method::POST,
             target: scorer.path.clone(),
@@ -469,7 +469,7 @@
             digest: OnceCell::new(),
         };
         // Reading the request may have taken long.
-        if !shared.may_send(&slot) {
+        if !shared.may_send(&sample_id) {
             sleep(SCORE_PAUSE).await;
             continue;
         }
@@ -478,20 +478,20 @@
         match forward::run(&shared, &route, &plain, tries).await {
             ForwardResult::Answered(answer) if answer.status.is_success() => {
                 let signature = answer.signature(&shared.codec.headers.signature);
-                if let Some(text) = shared.world.borrow_mut().texts.get_mut(&slot) {
+                if let Some(text) = shared.world.borrow_mut().texts.get_mut(&sample_id) {
                     text.score = signature;
                 }
-                shared.tell(&Event::Scored(slot));
+                shared.tell(&Event::Scored(sample_id));
                 return;
             }
             ForwardResult::Answered(answer) => {
                 if answer.status == http::StatusCode::INTERNAL_SERVER_ERROR {
                     failures += 1;
                 }
-                log::debug!("scoring {}/{}: {}", slot.job, slot.at, answer.status);
+                log::debug!("scoring {}/{}: {}", sample_id.job, sample_id.index, answer.status);
             }
             ForwardResult::Refused(kind, come_back_ms) => {
-                log::debug!("scoring {}/{}: {kind:?}", slot.job, slot.at);
+                log::debug!("scoring {}/{}: {kind:?}", sample_id.job, sample_id.index);
                 let come_back = come_back_ms.map_or(SCORE_HELD_PAUSE, Duration::from_millis);
                 pause = match kind {
                     Kind::EndsTargets => come_back.min(SCORE_HELD_PAUSE),
@@ -503,8 +503,8 @@
             }
         }
         if failures >= most {
-            log::info!("scoring {}/{} failed {failures} times", slot.job, slot.at);
-            shared.tell(&Event::Unscored(slot));
+            log::info!("scoring {}/{} failed {failures} times", sample_id.job, sample_id.index);
+            shared.tell(&Event::ScoringFailed(sample_id));
             return;
         }
         sleep(pause).await;
--- a/crates/hollywell/src/entry/news.rs
+++ b/crates/hollywell/src/entry/news.rs
@@ -72,7 +72,12 @@
                 match serde_json::from_slice(&value) {
                     Ok(News::Loaded(load)) => {
                         let fleet = &mut shared.world.borrow_mut().fleet;
-                        fleet.record_version(&load.target, load.born, &load.model, load.version);
+                        fleet.record_version(
+                            &load.target,
+                            load.start_ms,
+                            &load.model,
+                            load.version,
+                        );
                     }
                     Ok(News::Trimmed { part, texts, before }) => {
                         room::trimmed(shared, part, usize::from(texts), before);
--- a/crates/hollywell/src/entry/orders.rs
+++ b/crates/hollywell/src/entry/orders.rs
@@ -181,7 +181,8 @@
     {
         shared.restarted(world, &order.target, address);
     }
-    let born = world.fleet.targets.get(&order.target).and_then(|target| target.announcement.born);
+    let born =
+        world.fleet.targets.get(&order.target).and_then(|target| target.announcement.start_ms);
     for (model, version) in &report.versions {
         world.fleet.record_version(&order.target, born, model, *version);
     }
--- a/crates/hollywell/src/entry/outbox.rs
+++ b/crates/hollywell/src/entry/outbox.rs
@@ -19,7 +19,7 @@
     core::{
         batch::{self, Outcome, Partial, TextRef},
         capacity::Purpose,
-        dispatch::Slot,
+        dispatch::SampleId,
     },
     entry::{
         run::GeneratedText,
@@ -37,7 +37,7 @@
 const OVERHEAD_BYTES: usize = 500;
 
 struct Entry {
-    slot: Slot,
+    sample_id: SampleId,
     outcome: Outcome,
     /// The text, until the store has it.
     text: Option<Bytes>,
@@ -61,20 +61,20 @@
 }
 
 /// Queues a sample's result for the store.
-pub fn deliver(shared: &Rc<Shared>, slot: &Slot, dead: bool) {
-    let part = shared.part_of(&slot.job);
+pub fn deliver(shared: &Rc<Shared>, sample_id: &SampleId, dead: bool) {
+    let part = shared.part_of(&sample_id.job);
     {
         let mut world = shared.world.borrow_mut();
-        let text = world.texts.remove(slot).unwrap_or_default();
-        let Some(job) = world.shelves[part].book.jobs.get(&slot.job) else {
+        let text = world.texts.remove(sample_id).unwrap_or_default();
+        let Some(job) = world.shelves[part].book.jobs.get(&sample_id.job) else {
             return;
         };
-        let id = job.head.samples[slot.at].id.clone();
+        let id = job.head.samples[sample_id.index].id.clone();
         let versions = if dead { vec![] } else { text.versions.into_iter().collect() };
         let score = text.score.filter(|_| !dead);
         let outcome = Outcome { id, dead, text: None, versions, score };
         let text = (!dead).then(|| Bytes::from(text.data));
-        let entry = Entry { slot: slot.clone(), outcome, text };
+        let entry = Entry { sample_id: sample_id.clone(), outcome, text };
         shared.outbox[part].queue.borrow_mut().push_back(entry);
     }
     if !shared.outbox[part].busy.replace(true) {
@@ -108,7 +108,7 @@
         return Ok(());
     }
     let record = |entry: &&mut Entry| {
-        let key = batch::text_key(&entry.slot.job, &shared.unique(), &entry.outcome.id);
+        let key = batch::text_key(&entry.sample_id.job, &shared.unique(), &entry.outcome.id);
         (key, entry.text.clone().unwrap_or_default())
     };
     let keyed: Vec<(String, Bytes)> = waiting.iter().map(record).collect();
@@ -132,19 +132,23 @@
 
 async fn append_results(shared: &Rc<Shared>, part: usize, taken: &[Entry]) -> Result<(), Fault> {
     let mut records = Vec::new();
-    for Entry { slot, outcome, .. } in taken {
+    for Entry { sample_id, outcome, .. } in taken {
         // A key of its own for each append: if one key were appended twice,
         // the store would keep only the later offset, and with it another
         // position.
-        let (key, value) = batch::outcome_record(&slot.job, &shared.unique(), outcome);
+        let (key, value) = batch::outcome_record(&sample_id.job, &shared.unique(), outcome);
         records.push((Some(key), value));
     }
     let (at, purpose) = (Part::at(JOBS, part), Purpose::Outcome);
     let append = Append { part: at, records, expected_end: None, purpose };
     let appended = shared.append(append).await?;
-    for (Entry { slot, outcome, .. }, offset) in taken.iter().zip(appended.offset..) {
+    for (Entry { sample_id, outcome, .. }, offset) in taken.iter().zip(appended.offset..) {
         let ending = if outcome.dead { "given up" } else { "whole" };
-        log::debug!("sample {}/{} is {ending}: record {offset} or after", slot.job, slot.at);
+        log::debug!(
+            "sample {}/{} is {ending}: record {offset} or after",
+            sample_id.job,
+            sample_id.index
+        );
     }
     Ok(())
 }
@@ -163,8 +167,8 @@
     let mut taken = Vec::new();
     let mut bytes = 0;
     while let Some(entry) = queue.front() {
-        let job = world.shelves[part].book.jobs.get(&entry.slot.job);
-        if job.is_none_or(|job| job.done[entry.slot.at]) {
+        let job = world.shelves[part].book.jobs.get(&entry.sample_id.job);
+        if job.is_none_or(|job| job.done[entry.sample_id.index]) {
             queue.pop_front();
             continue;
         }
@@ -179,7 +183,7 @@
 
 /// A text that has grown since it was last kept.
 struct Grown {
-    slot: Slot,
+    sample_id: SampleId,
     sample: String,
     last: u64,
     versions: Vec<u64>,
@@ -207,7 +211,7 @@
         };
         let mut world = shared.world.borrow_mut();
         for (grown, kept) in grown.into_iter().zip(saved) {
-            let text = world.texts.get_mut(&grown.slot);
+            let text = world.texts.get_mut(&grown.sample_id);
             // A text that was begun anew meanwhile has other data, and one
             // that was kept meanwhile, as a stopping instance does beside the
             // regular saves, goes on from there.
@@ -230,8 +234,9 @@
     part: usize,
     grown: &[Grown],
 ) -> Result<Vec<Vec<TextRef>>, Fault> {
-    let key =
-        |grown: &Grown| batch::partial_text_key(&grown.slot.job, &shared.unique(), &grown.sample);
+    let key = |grown: &Grown| {
+        batch::partial_text_key(&grown.sample_id.job, &shared.unique(), &grown.sample)
+    };
     let keys: Vec<String> = grown.iter().map(key).collect();
     let records = keys.iter().zip(grown);
     let records = records.map(|(key, grown)| (Some(key.clone()), grown.piece.clone())).collect();
@@ -249,7 +254,7 @@
         texts.push(TextRef::new(number(part), offset, key.clone(), &grown.piece));
         let (last, versions) = (grown.last, grown.versions.clone());
         let partial = Partial { last, texts, versions };
-        let (key, value) = batch::partial_record(&grown.slot.job, &grown.sample, &partial);
+        let (key, value) = batch::partial_record(&grown.sample_id.job, &grown.sample, &partial);
         records.push((Some(key), value));
         kept.push(partial.texts);
     }
@@ -267,12 +272,12 @@
     let store = &shared.settings.store;
     let mut grown = Vec::new();
     let mut bytes = 0;
-    for (slot, text) in &world.texts {
-        if shared.part_of(&slot.job) != part || text.last_event < text.saved_event + least {
+    for (sample_id, text) in &world.texts {
+        if shared.part_of(&sample_id.job) != part || text.last_event < text.saved_event + least {
             continue;
         }
-        let job = world.shelves[part].book.jobs.get(&slot.job);
-        let Some(job) = job.filter(|_| world.wants(part, slot)) else {
+        let job = world.shelves[part].book.jobs.get(&sample_id.job);
+        let Some(job) = job.filter(|_| world.wants(part, sample_id)) else {
             continue;
         };
         let piece = &text.data.as_bytes()[text.stored_bytes..];
@@ -285,8 +290,8 @@
             break;
         }
         grown.push(Grown {
-            slot: slot.clone(),
-            sample: job.head.samples[slot.at].id.clone(),
+            sample_id: sample_id.clone(),
+            sample: job.head.samples[sample_id.index].id.clone(),
             last: text.last_event,
             versions: text.versions.iter().copied().collect(),
             kept: text.stored.clone(),
--- a/crates/hollywell/src/entry/resume.rs
+++ b/crates/hollywell/src/entry/resume.rs
@@ -6,7 +6,7 @@
 use crate::{
     core::{
         batch::{Head, Partial},
-        dispatch::Item,
+        dispatch::SampleSpec,
     },
     entry::shared::Shelf,
 };
@@ -17,7 +17,7 @@
 
 /// The samples of a job that is opened, as they are run. Unfinished texts of
 /// earlier steps are handed to the job; old ones are dropped.
-pub fn items(shelves: &mut [Shelf], part: usize, job: &str, head: &Head) -> Vec<Item> {
+pub fn items(shelves: &mut [Shelf], part: usize, job: &str, head: &Head) -> Vec<SampleSpec> {
     forget(shelves, head);
     let mut items = Vec::new();
     for (at, sample) in head.samples.iter().enumerate() {
@@ -30,7 +30,7 @@
             job.partials.entry(at).or_insert(text);
         }
         let (group, tokens) = (sample.group.clone(), sample.tokens);
-        items.push(Item { group, tokens, carried });
+        items.push(SampleSpec { group, tokens, carried });
     }
     items
 }
--- a/crates/hollywell/src/entry/run.rs
+++ b/crates/hollywell/src/entry/run.rs
@@ -13,7 +13,7 @@
 use crate::{
     core::{
         batch::{Partial, Sample, TextRef},
-        dispatch::{End, Event, Run, Slot},
+        dispatch::{End, Event, Run, SampleId},
         fleet::Announcement,
         poison::{Digest, Verdict},
     },
@@ -64,7 +64,7 @@
 }
 
 /// Starts a run as a task of its own.
-pub fn start(shared: &Rc<Shared>, run: Run, slot: Slot, target: &str, priority: u8) {
+pub fn start(shared: &Rc<Shared>, run: Run, sample_id: SampleId, target: &str, priority: u8) {
     let said = {
         let world = shared.world.borrow();
         world.fleet.targets.get(target).map(|target| target.announcement.clone())
@@ -79,10 +79,10 @@
     let task = tokio::task::spawn_local({
         let shared = shared.clone();
         async move {
-            let end = go(&shared, run, &slot, &said, priority).await;
+            let end = go(&shared, run, &sample_id, &said, priority).await;
             let events =
-                || shared.world.borrow().texts.get(&slot).map_or(0, |text| text.last_event);
-            let (job, at, id) = (&slot.job, slot.at, &said.id);
+                || shared.world.borrow().texts.get(&sample_id).map_or(0, |text| text.last_event);
+            let (job, at, id) = (&sample_id.job, sample_id.index, &said.id);
             log::debug!("sample {job}/{at} at {id}: {end:?}, {} events", events());
             shared.meters.runs.with_label_values(&[&format!("{end:?}")]).inc();
             shared.world.borrow_mut().runs.remove(&run);
@@ -94,9 +94,9 @@
 
 /// Takes over the text that another instance, or an earlier run of this one,
 /// left in the store, where it goes further than what is known here.
-async fn recall(shared: &Rc<Shared>, slot: &Slot) {
-    let part = shared.part_of(&slot.job);
-    let Some(partial) = kept(shared, part, slot) else {
+async fn recall(shared: &Rc<Shared>, sample_id: &SampleId) {
+    let part = shared.part_of(&sample_id.job);
+    let Some(partial) = kept(shared, part, sample_id) else {
         return;
     };
     let data = match texts::fetch(shared, &partial.texts).await {
@@ -104,19 +104,19 @@
         // A longer one has taken its place, or the store is away; then the
         // sample begins anew, or where this instance knows.
         Err(fault) => {
-            log::info!("unfinished text of {}/{}: {fault}", slot.job, slot.at);
+            log::info!("unfinished text of {}/{}: {fault}", sample_id.job, sample_id.index);
             return;
         }
     };
     let Ok(data) = String::from_utf8(data) else {
-        log::error!("unfinished text of {}/{} is not UTF-8", slot.job, slot.at);
+        log::error!("unfinished text of {}/{} is not UTF-8", sample_id.job, sample_id.index);
         return;
     };
     let mut world = shared.world.borrow_mut();
-    let known = world.texts.get(slot).map_or(0, |text| text.last_event);
+    let known = world.texts.get(sample_id).map_or(0, |text| text.last_event);
     if partial.last > known {
         // What an earlier job kept goes with that job, and is kept anew.
-        let own = partial.is_of(&slot.job);
+        let own = partial.is_of(&sample_id.job);
         let text = GeneratedText {
             last_event: partial.last,
             versions: partial.versions.into_iter().collect(),
@@ -127,16 +127,16 @@
             data,
             identity: Rc::default(),
         };
-        world.texts.insert(slot.clone(), text);
+        world.texts.insert(sample_id.clone(), text);
     }
 }
 
 /// What the store keeps of a sample's text, if that is of use here.
-fn kept(shared: &Shared, part: usize, slot: &Slot) -> Option<Partial> {
+fn kept(shared: &Shared, part: usize, sample_id: &SampleId) -> Option<Partial> {
     let world = shared.world.borrow();
-    let job = world.shelves[part].book.jobs.get(&slot.job)?;
-    let partial = job.partials.get(&slot.at)?;
-    let known = world.texts.get(slot).map_or(0, |text| text.last_event);
+    let job = world.shelves[part].book.jobs.get(&sample_id.job)?;
+    let partial = job.partials.get(&sample_id.index)?;
+    let known = world.texts.get(sample_id).map_or(0, |text| text.last_event);
     let allowed = partial.is_allowed(job.head.min_version);
     (partial.last > known && allowed).then(|| partial.clone())
 }
@@ -144,18 +144,18 @@
 async fn go(
     shared: &Rc<Shared>,
     run: Run,
-    slot: &Slot,
+    sample_id: &SampleId,
     target: &Announcement,
     priority: u8,
 ) -> End {
-    let Some(sample) = samples::get(shared, slot).await else {
+    let Some(sample) = samples::get(shared, sample_id).await else {
         return End::Unready;
     };
-    recall(shared, slot).await;
-    let Some(request) = request(shared, slot, &sample, target, priority) else {
+    recall(shared, sample_id).await;
+    let Some(request) = request(shared, sample_id, &sample, target, priority) else {
         return End::Impossible;
     };
-    let digest = digest(shared, slot, &sample);
+    let digest = digest(shared, sample_id, &sample);
     // Asked last: whoever ran it before may have told of it meanwhile.
     let held = match suspects::verdict(shared, || digest) {
         Verdict::Free => false,
@@ -166,9 +166,10 @@
         shared.meters.held_back.inc();
         return End::Held;
     }
-    let last_event = || shared.world.borrow().texts.get(slot).map_or(0, |text| text.last_event);
+    let last_event =
+        || shared.world.borrow().texts.get(sample_id).map_or(0, |text| text.last_event);
     let before = last_event();
-    let end = exchange(shared, run, slot, target, digest, request).await;
+    let end = exchange(shared, run, sample_id, target, digest, request).await;
     // A sample that has got further is none that ends its targets.
     let may_have_ended = matches!(end, End::Broken | End::Stale) && last_event() == before;
     if may_have_ended && suspects::look(shared, target, digest, false).await {
@@ -178,9 +179,9 @@
 }
 
 /// What a sample has in common with the same sample of another job.
-fn digest(shared: &Shared, slot: &Slot, sample: &Sample) -> Digest {
+fn digest(shared: &Shared, sample_id: &SampleId, sample: &Sample) -> Digest {
     let world = shared.world.borrow();
-    let job = world.shelves[shared.part_of(&slot.job)].book.jobs.get(&slot.job);
+    let job = world.shelves[shared.part_of(&sample_id.job)].book.jobs.get(&sample_id.job);
     let (host, organisation) = job.map_or(("", ""), |job| (&job.head.host, &job.head.organisation));
     Digest::of(&["POST", host, &sample.path, organisation], &sample.body)
 }
@@ -188,19 +189,19 @@
 async fn exchange(
     shared: &Rc<Shared>,
     run: Run,
-    slot: &Slot,
+    sample_id: &SampleId,
     target: &Announcement,
     digest: Digest,
     request: Request<Full<Bytes>>,
 ) -> End {
-    let wanted = || shared.may_send(slot) && shared.may_reach(target);
+    let wanted = || shared.may_send(sample_id) && shared.may_reach(target);
     let sent = shared.pool.send_if(target.address, request, RUN_LIMIT, wanted).await;
     let answer = match sent {
         Ok(answer) => answer,
         Err(Error::Cancelled) => return End::Unready,
         Err(Error::StaleConnection) => return End::Stale,
         Err(error) => {
-            log::info!("sample {}/{} at {}: {error}", slot.job, slot.at, target.id);
+            log::info!("sample {}/{} at {}: {error}", sample_id.job, sample_id.index, target.id);
             return if error.is_not_sent() { End::Unreached } else { End::Broken };
         }
     };
@@ -210,13 +211,13 @@
         shared.world.borrow_mut().observations.record_load(now, &target.id, load);
     }
     match answer.head.status {
-        StatusCode::OK => stream(shared, run, slot, target, digest, answer).await,
+        StatusCode::OK => stream(shared, run, sample_id, target, digest, answer).await,
         StatusCode::MISDIRECTED_REQUEST => End::Misdirected,
         StatusCode::UNPROCESSABLE_ENTITY => End::Impossible,
         StatusCode::INTERNAL_SERVER_ERROR => End::Failed,
         status => {
             let refused = answer.head.headers.contains_key(&headers.not_run);
-            log::debug!("sample {}/{} at {}: {status}", slot.job, slot.at, target.id);
+            log::debug!("sample {}/{} at {}: {status}", sample_id.job, sample_id.index, target.id);
             if refused { End::Full } else { End::Broken }
         }
     }
@@ -224,13 +225,13 @@
 
 fn request(
     shared: &Shared,
-    slot: &Slot,
+    sample_id: &SampleId,
     sample: &Sample,
     target: &Announcement,
     priority: u8,
 ) -> Option<Request<Full<Bytes>>> {
     let world = shared.world.borrow();
-    let job = world.shelves[shared.part_of(&slot.job)].book.jobs.get(&slot.job)?;
+    let job = world.shelves[shared.part_of(&sample_id.job)].book.jobs.get(&sample_id.job)?;
     let headers = &shared.codec.headers;
     let mut request = Request::post(sample.path.as_str())
         .header(http::header::HOST, job.head.host.as_str())
@@ -243,11 +244,16 @@
     for header in &sample.headers {
         request = request.header(header.name.as_str(), header.value.as_str());
     }
-    let last = world.texts.get(slot).map_or(0, |text| text.last_event);
+    let last = world.texts.get(sample_id).map_or(0, |text| text.last_event);
     if last > 0 {
         request = request.header(&headers.last_event, HeaderValue::from(last));
     }
-    log::debug!("sample {}/{} starts at {} after event {last}", slot.job, slot.at, target.id);
+    log::debug!(
+        "sample {}/{} starts at {} after event {last}",
+        sample_id.job,
+        sample_id.index,
+        target.id
+    );
     request.body(Full::new(sample.body.clone())).ok()
 }
 
@@ -255,7 +261,7 @@
 struct Context<'a> {
     shared: &'a Rc<Shared>,
     run: Run,
-    slot: &'a Slot,
+    sample_id: &'a SampleId,
     target: &'a Announcement,
     digest: Digest,
     model: String,
@@ -267,14 +273,19 @@
 impl Context<'_> {
     /// Notes why a run ends early, for the log.
     fn broken(&self, why: &dyn std::fmt::Display) -> End {
-        log::info!("sample {}/{} at {}: {why}", self.slot.job, self.slot.at, self.target.id);
+        log::info!(
+            "sample {}/{} at {}: {why}",
+            self.sample_id.job,
+            self.sample_id.index,
+            self.target.id
+        );
         End::Broken
     }
 
     /// Notes that the target has a version of the model.
     fn saw(&self, version: u64) {
-        let Announcement { id, born, .. } = self.target;
-        self.shared.world.borrow_mut().fleet.record_version(id, *born, &self.model, version);
+        let Announcement { id, start_ms, .. } = self.target;
+        self.shared.world.borrow_mut().fleet.record_version(id, *start_ms, &self.model, version);
     }
 
     /// Takes one whole event into the sample's text. `version` is the one
@@ -294,7 +305,7 @@
         }
         {
             let mut world = self.shared.world.borrow_mut();
-            let text = world.texts.entry(self.slot.clone()).or_default();
+            let text = world.texts.entry(self.sample_id.clone()).or_default();
             if piece.id != text.last_event + 1 {
                 return Err(self.broken(&format!("event {} after {}", piece.id, text.last_event)));
             }
@@ -309,19 +320,20 @@
 async fn stream(
     shared: &Rc<Shared>,
     run: Run,
-    slot: &Slot,
+    sample_id: &SampleId,
     target: &Announcement,
     digest: Digest,
     answer: IncomingResponse,
 ) -> End {
     let context = {
         let world = shared.world.borrow();
-        let Some(job) = world.shelves[shared.part_of(&slot.job)].book.jobs.get(&slot.job) else {
+        let Some(job) = world.shelves[shared.part_of(&sample_id.job)].book.jobs.get(&sample_id.job)
+        else {
             return End::Broken;
         };
         let (model, min_version) = (job.head.model.clone(), job.head.min_version);
-        let id = job.head.samples[slot.at].id.clone();
-        Context { shared, run, slot, target, digest, model, min_version, id }
+        let id = job.head.samples[sample_id.index].id.clone();
+        Context { shared, run, sample_id, target, digest, model, min_version, id }
     };
     match events(&context, answer).await {
         Ok(()) => End::Whole,
@@ -356,7 +368,7 @@
         return Err(context.broken(&"ends within an event"));
     }
     let world = context.shared.world.borrow();
-    match world.texts.contains_key(context.slot) {
+    match world.texts.contains_key(context.sample_id) {
         true => Ok(()),
         false => Err(context.broken(&"ends without any event")),
     }
--- a/crates/hollywell/src/entry/samples.rs
+++ b/crates/hollywell/src/entry/samples.rs
@@ -11,7 +11,7 @@
     core::{
         batch::{self, Brief, Bundle, Sample, Submission, TextRef},
         capacity::Purpose,
-        dispatch::Slot,
+        dispatch::SampleId,
     },
     entry::{
         shared::{Shared, TEXTS},
@@ -26,14 +26,14 @@
 const READ: Duration = Duration::from_secs(2);
 
 /// A sample's request, read from the store if it is not known.
-pub async fn get(shared: &Rc<Shared>, slot: &Slot) -> Option<Sample> {
-    let part = shared.part_of(&slot.job);
+pub async fn get(shared: &Rc<Shared>, sample_id: &SampleId) -> Option<Sample> {
+    let part = shared.part_of(&sample_id.job);
     let (bundle, at, text) = {
         let world = shared.world.borrow();
-        let head = &world.shelves[part].book.jobs.get(&slot.job)?.head;
-        let brief = head.samples.get(slot.at)?;
+        let head = &world.shelves[part].book.jobs.get(&sample_id.job)?.head;
+        let brief = head.samples.get(sample_id.index)?;
         let (bundle, at) = (brief.bundle as usize, brief.at as usize);
-        let known = world.bundles.get(&(slot.job.clone(), bundle));
+        let known = world.bundles.get(&(sample_id.job.clone(), bundle));
         if let Some(bundle) = known {
             return bundle.samples.get(at).cloned();
         }
@@ -43,27 +43,27 @@
     let bytes = match read {
         Ok(Ok(mut texts)) => texts.pop()?,
         Ok(Err(fault)) => {
-            log::info!("samples of job {} at {}: {fault}", slot.job, text.offset);
+            log::info!("samples of job {} at {}: {fault}", sample_id.job, text.offset);
             return None;
         }
         Err(_) => {
-            log::info!("samples of job {} at {}: no answer in time", slot.job, text.offset);
+            log::info!("samples of job {} at {}: no answer in time", sample_id.job, text.offset);
             return None;
         }
     };
     let decoded = match Bundle::decode(bytes) {
         Ok(decoded) => Rc::new(decoded),
         Err(error) => {
-            log::error!("samples of job {} at {}: {error}", slot.job, text.offset);
+            log::error!("samples of job {} at {}: {error}", sample_id.job, text.offset);
             return None;
         }
     };
     let world = &mut *shared.world.borrow_mut();
     // A job that was ended meanwhile is not remembered.
-    let open = world.shelves[part].book.jobs.get(&slot.job).is_some_and(|job| !job.ended)
-        && !world.ending.is_pending(&slot.job);
+    let open = world.shelves[part].book.jobs.get(&sample_id.job).is_some_and(|job| !job.ended)
+        && !world.ending.is_pending(&sample_id.job);
     if open {
-        world.bundles.insert((slot.job.clone(), bundle), decoded.clone());
+        world.bundles.insert((sample_id.job.clone(), bundle), decoded.clone());
     }
     decoded.samples.get(at).cloned()
 }
--- a/crates/hollywell/src/entry/shared.rs
+++ b/crates/hollywell/src/entry/shared.rs
@@ -21,7 +21,7 @@
         capacity,
         choice::Observations,
         configuration::{Configuration, RouteKind},
-        dispatch::{self, Effect, Event, Run, Slot, Work},
+        dispatch::{self, Effect, Event, JobSpec, Run, SampleId},
         ending,
         fleet::{Announcement, Fleet},
         group::GroupSize,
@@ -136,7 +136,7 @@
     /// Newest weights of each model, and how much of it is asked for.
     pub models: Models,
     /// Text of samples that are not listed.
-    pub texts: HashMap<Slot, GeneratedText>,
+    pub texts: HashMap<SampleId, GeneratedText>,
     /// Bundles of samples that this instance runs.
     pub bundles: HashMap<(String, usize), Rc<Bundle>>,
     /// Runs in flight.
@@ -159,10 +159,10 @@
     /// Whether a sample, whose job lies in a partition, is still to be
     /// listed: its job is there, and no end of it was read or asked for.
     #[must_use]
-    pub fn wants(&self, part: usize, slot: &Slot) -> bool {
-        let job = self.shelves[part].book.jobs.get(&slot.job);
-        let open = job.is_some_and(|job| !job.ended && !job.done[slot.at]);
-        open && !self.ending.is_pending(&slot.job)
+    pub fn wants(&self, part: usize, sample_id: &SampleId) -> bool {
+        let job = self.shelves[part].book.jobs.get(&sample_id.job);
+        let open = job.is_some_and(|job| !job.ended && !job.done[sample_id.index]);
+        open && !self.ending.is_pending(&sample_id.job)
     }
 
     /// Whether what is known of a partition of jobs is out of date.
@@ -358,8 +358,8 @@
 
     fn carry_out(self: &Rc<Shared>, effect: Effect) {
         match effect {
-            Effect::Start { run, slot, target, priority } => {
-                run::start(self, run, slot, &target, priority);
+            Effect::Start { run, sample_id, target, priority } => {
+                run::start(self, run, sample_id, &target, priority);
             }
             Effect::Cancel(run) => {
                 let handle = self.world.borrow_mut().runs.remove(&run);
@@ -367,18 +367,18 @@
                     handle.abort();
                 }
             }
-            Effect::Moved { slot, target, why } => {
+            Effect::Moved { sample_id, target, why } => {
                 self.meters.moves.with_label_values(&[&format!("{why:?}")]).inc();
-                log::info!("sample {}/{} leaves {target}: {why:?}", slot.job, slot.at);
+                log::info!("sample {}/{} leaves {target}: {why:?}", sample_id.job, sample_id.index);
             }
-            Effect::Discard(slot) => {
-                self.world.borrow_mut().texts.remove(&slot);
+            Effect::Discard(sample_id) => {
+                self.world.borrow_mut().texts.remove(&sample_id);
             }
-            Effect::Score(slot) => {
-                tokio::task::spawn_local(jobs::score(self.clone(), slot));
+            Effect::Score(sample_id) => {
+                tokio::task::spawn_local(jobs::score(self.clone(), sample_id));
             }
-            Effect::Deliver(slot) => outbox::deliver(self, &slot, false),
-            Effect::GiveUp(slot) => outbox::deliver(self, &slot, true),
+            Effect::Deliver(sample_id) => outbox::deliver(self, &sample_id, false),
+            Effect::GiveUp(sample_id) => outbox::deliver(self, &sample_id, true),
         }
     }
 
@@ -437,8 +437,8 @@
         match change {
             Change::Opened(job) => self.open(part, job),
             Change::Skipped(skip) => log::warn!("{skip}"),
-            Change::Listed(job, at) => self.tell(&Event::Listed(Slot { job, at })),
-            Change::Grown(job, at) => self.grown(part, Slot { job, at }),
+            Change::Listed(job, at) => self.tell(&Event::ResultStored(SampleId { job, index: at })),
+            Change::Grown(job, at) => self.grown(part, SampleId { job, index: at }),
             Change::Ended(job) | Change::Dropped(job) => {
                 self.close(&job);
                 ends::tell(self, &ending::Event::Settled(job));
@@ -450,11 +450,11 @@
     /// known and how old that is. It is asked last of all before a send:
     /// between a decision and its send there may be a pause of any length.
     #[must_use]
-    pub fn may_send(&self, slot: &Slot) -> bool {
+    pub fn may_send(&self, sample_id: &SampleId) -> bool {
         let now = self.now();
         let world = self.world.borrow();
-        let part = self.part_of(&slot.job);
-        world.wants(part, slot) && !world.is_stale(now, part)
+        let part = self.part_of(&sample_id.job);
+        world.wants(part, sample_id) && !world.is_stale(now, part)
     }
 
     /// Whether a target's failure domain may get something new. It is asked
@@ -476,18 +476,18 @@
 
     /// Tells the reducer how far a sample's kept text goes, where that is
     /// further than this instance's own.
-    fn grown(self: &Rc<Shared>, part: usize, slot: Slot) {
+    fn grown(self: &Rc<Shared>, part: usize, sample_id: SampleId) {
         let kept = {
             let world = self.world.borrow();
-            let Some(own) = world.texts.get(&slot).map(|text| text.last_event) else {
+            let Some(own) = world.texts.get(&sample_id).map(|text| text.last_event) else {
                 return;
             };
-            let job = world.shelves[part].book.jobs.get(&slot.job);
-            let kept = job.and_then(|job| job.partials.get(&slot.at));
+            let job = world.shelves[part].book.jobs.get(&sample_id.job);
+            let kept = job.and_then(|job| job.partials.get(&sample_id.index));
             kept.map(|kept| kept.last).filter(|last| *last > own)
         };
         if let Some(last) = kept.and_then(|last| u32::try_from(last).ok()) {
-            self.tell(&Event::Ahead { slot, last });
+            self.tell(&Event::PartialTextStored { sample_id, last });
         }
     }
 
@@ -508,15 +508,15 @@
                 world.unopened.push(id);
                 return;
             };
-            let keep_ms = batch::keep_for(route.keep_ms, job.head.at_ms, wall_ms());
+            let keep_ms = batch::keep_for(route.give_up_ms, job.head.at_ms, wall_ms());
             let head = job.head.clone();
-            let mut work = Work {
+            let mut work = JobSpec {
                 job: id,
                 part,
                 pool: route.pools.first().map(|(pool, _)| pool.clone()).unwrap_or_default(),
                 model: job.head.model.clone(),
                 min_version: job.head.min_version,
-                attempts: route.attempts,
+                max_attempts: route.max_attempts,
                 keep_until: self.now().after(keep_ms),
                 samples: vec![],
                 done: job.done.clone(),
--- a/crates/hollywell/tests/dispatch.rs
+++ b/crates/hollywell/tests/dispatch.rs
@@ -7,7 +7,7 @@
 
 use hollywell::core::{
     choice::Observations,
-    dispatch::{Effect, End, Event, Item, MoveReason, Run, Slot, State, Work, owner},
+    dispatch::{Effect, End, Event, JobSpec, MoveReason, Run, SampleId, SampleSpec, State, owner},
     fleet::{Announcement, Fleet},
     time::Time,
 };
@@ -27,26 +27,26 @@
         slots: 4,
         draining: false,
         cold: false,
-        born: None,
-        beats: 0,
+        start_ms: None,
+        sequence: 0,
         versions: BTreeMap::from([("m".to_owned(), version)]),
     }
 }
 
-fn work(job: &str, hints: &[u32]) -> Work {
-    let item = |(n, tokens): (usize, &u32)| Item {
+fn work(job: &str, hints: &[u32]) -> JobSpec {
+    let item = |(n, tokens): (usize, &u32)| SampleSpec {
         group: format!("g{n}"),
         tokens: *tokens,
         carried: false,
     };
-    let samples: Vec<Item> = hints.iter().enumerate().map(item).collect();
-    Work {
+    let samples: Vec<SampleSpec> = hints.iter().enumerate().map(item).collect();
+    JobSpec {
         job: job.into(),
         part: 0,
         pool: "llm".into(),
         model: "m".into(),
         min_version: 1,
-        attempts: 3,
+        max_attempts: 3,
         keep_until: Time(40_000),
         done: vec![false; samples.len()],
         samples,
@@ -87,14 +87,16 @@
 
 fn starts(effects: &[Effect]) -> Vec<(Run, usize, String)> {
     let start = |effect: &Effect| match effect {
-        Effect::Start { run, slot, target, .. } => Some((*run, slot.at, target.clone())),
+        Effect::Start { run, sample_id, target, .. } => {
+            Some((*run, sample_id.index, target.clone()))
+        }
         _ => None,
     };
     effects.iter().filter_map(start).collect()
 }
 
-fn slot(job: &str, at: usize) -> Slot {
-    Slot { job: job.into(), at }
+fn slot(job: &str, at: usize) -> SampleId {
+    SampleId { job: job.into(), index: at }
 }
 
 #[test]
@@ -110,7 +112,7 @@
 #[test]
 fn an_engine_with_an_old_version_gets_nothing() {
     let mut world = world(&[target("old", 1), target("new", 2)]);
-    let job = Work { min_version: 2, ..work("j", &[100, 100]) };
+    let job = JobSpec { min_version: 2, ..work("j", &[100, 100]) };
     let started = starts(&world.step(10, &Event::Opened(job)));
     assert!(started.iter().all(|start| start.2 == "new"), "{started:?}");
 }
@@ -266,8 +268,10 @@
     let mut world = world(&[target("a", 1)]);
     let (run, _, _) = starts(&world.step(10, &Event::Opened(work("j", &[100]))))[0].clone();
     world.step(20, &Event::StreamEvent { run });
-    assert!(world.step(30, &Event::Ahead { slot: slot("j", 0), last: 5 }).is_empty());
-    let effects = world.step(40, &Event::Ahead { slot: slot("j", 0), last: 60 });
+    assert!(
+        world.step(30, &Event::PartialTextStored { sample_id: slot("j", 0), last: 5 }).is_empty()
+    );
+    let effects = world.step(40, &Event::PartialTextStored { sample_id: slot("j", 0), last: 60 });
     assert!(effects.contains(&Effect::Cancel(run)), "{effects:?}");
     assert_eq!(starts(&effects).len(), 1);
 }
--- a/crates/hollywell/tests/fleet.rs
+++ b/crates/hollywell/tests/fleet.rs
@@ -18,8 +18,8 @@
         slots: 4,
         draining,
         cold: false,
-        born: None,
-        beats: 0,
+        start_ms: None,
+        sequence: 0,
         versions: BTreeMap::from([("m".to_owned(), version)]),
     }
 }
@@ -66,7 +66,7 @@
 
 /// An entry of a life that began at `born`, the `beats`-th of it.
 fn of_life(id: &str, born: u64, beats: u64, version: u64) -> Announcement {
-    Announcement { born: Some(born), beats, ..target(id, version, false) }
+    Announcement { start_ms: Some(born), sequence: beats, ..target(id, version, false) }
 }
 
 #[test]
@@ -81,7 +81,7 @@
     fleet.record_version("a", Some(100), "m", 5);
     assert_eq!(fleet.targets["a"].announcement.versions["m"], 1);
     assert_eq!(fleet.announce(Time(3), of_life("a", 100, 8, 5)), AnnounceOutcome::Outdated);
-    assert_eq!(fleet.targets["a"].announcement.born, Some(200));
+    assert_eq!(fleet.targets["a"].announcement.start_ms, Some(200));
 }
 
 #[test]
--- a/crates/hollywell/tests/near.rs
+++ b/crates/hollywell/tests/near.rs
@@ -7,7 +7,7 @@
 
 use hollywell::core::{
     choice::Observations,
-    dispatch::{Effect, End, Event, Item, Run, State, Work},
+    dispatch::{Effect, End, Event, JobSpec, Run, SampleSpec, State},
     fleet::{Announcement, Fleet},
     time::Time,
 };
@@ -33,8 +33,8 @@
             slots: SLOTS,
             draining: false,
             cold: false,
-            born: None,
-            beats: 0,
+            start_ms: None,
+            sequence: 0,
             versions: BTreeMap::from([("m".to_owned(), version)]),
         };
         fleet.announce(Time(1), said);
@@ -42,15 +42,15 @@
     fleet
 }
 
-fn work(job: &str, samples: usize) -> Work {
-    let item = |_| Item { group: "g".into(), tokens: 500, carried: false };
-    Work {
+fn work(job: &str, samples: usize) -> JobSpec {
+    let item = |_| SampleSpec { group: "g".into(), tokens: 500, carried: false };
+    JobSpec {
         job: job.into(),
         part: 0,
         pool: "llm".into(),
         model: "m".into(),
         min_version: 2,
-        attempts: 3,
+        max_attempts: 3,
         keep_until: Time(40_000),
         done: vec![false; samples],
         samples: (0..samples).map(item).collect(),
--- a/crates/hollywell/tests/roll.rs
+++ b/crates/hollywell/tests/roll.rs
@@ -21,8 +21,8 @@
             slots: 4,
             draining: false,
             cold: false,
-            born: None,
-            beats: 0,
+            start_ms: None,
+            sequence: 0,
             versions,
         };
         fleet.announce(Time(1), said);
@@ -41,7 +41,7 @@
     let mut count = 0;
     for now in 1..100 {
         for order in state.step(Time(now), "d", named, fleet, &observations) {
-            fleet.record_version(&order.target, order.born, &order.model, order.version);
+            fleet.record_version(&order.target, order.start_ms, &order.model, order.version);
             count += 1;
         }
     }
@@ -112,7 +112,12 @@
             for (domain, state) in states.iter_mut().enumerate() {
                 let name = format!("d{domain}");
                 for order in state.step(Time(now), &name, &models, &fleet, &observations) {
-                    fleet.record_version(&order.target, order.born, &order.model, order.version);
+                    fleet.record_version(
+                        &order.target,
+                        order.start_ms,
+                        &order.model,
+                        order.version,
+                    );
                     loads += 1;
                 }
             }
