--- a/crates/hollywell/src/entry/caller.rs
+++ b/crates/hollywell/src/entry/caller.rs
@@ -141,7 +141,7 @@
     let until = Instant::now() + WAIT;
     loop {
         let told = shared.configured.notified();
-        let plan = shared.world.borrow().plan.clone().ok_or(Kind::StoreAway)?;
+        let plan = shared.control.borrow().configuration.clone().ok_or(Kind::StoreAway)?;
         let current = is_current(shared);
         match judge(&plan) {
             Ok(judged) if !is_too_old(shared, &plan) => return Ok(judged),
--- a/crates/hollywell/src/entry/carry.rs
+++ b/crates/hollywell/src/entry/carry.rs
@@ -8,7 +8,7 @@
         batch::{Head, Partial},
         dispatch::Item,
     },
-    entry::shared::Shelf,
+    entry::shared::JobPartition,
 };
 
 /// Steps after which unfinished texts are of no use: trainers ask again at
@@ -17,14 +17,14 @@
 
 /// The samples of a job that is opened, as they are run. Unfinished texts of
 /// earlier steps are handed to the job; old ones are dropped.
-pub fn items(shelves: &mut [Shelf], part: usize, job: &str, head: &Head) -> Vec<Item> {
-    forget(shelves, head);
+pub fn items(partitions: &mut [JobPartition], part: usize, job: &str, head: &Head) -> Vec<Item> {
+    forget(partitions, head);
     let mut items = Vec::new();
     for (at, sample) in head.samples.iter().enumerate() {
-        let earlier = earlier(shelves, job, &sample.id);
+        let earlier = earlier(partitions, job, &sample.id);
         let carried = earlier.is_some();
         let text = earlier.flatten().filter(|text| text.is_allowed(head.min_version));
-        if let (Some(text), Some(job)) = (text, shelves[part].book.jobs.get_mut(job))
+        if let (Some(text), Some(job)) = (text, partitions[part].index.jobs.get_mut(job))
             && !job.done[at]
         {
             job.partials.entry(at).or_insert(text);
@@ -36,8 +36,8 @@
 }
 
 /// Whether another job has the sample, and what is kept of its text there.
-fn earlier(shelves: &[Shelf], job: &str, sample: &str) -> Option<Option<Partial>> {
-    let jobs = shelves.iter().flat_map(|shelf| &shelf.book.jobs);
+fn earlier(partitions: &[JobPartition], job: &str, sample: &str) -> Option<Option<Partial>> {
+    let jobs = partitions.iter().flat_map(|partition| &partition.index.jobs);
     let mut found = None;
     for (_, other) in jobs.filter(|(id, _)| *id != job) {
         if let Some(at) = other.index.get(sample) {
@@ -48,8 +48,8 @@
     found
 }
 
-fn forget(shelves: &mut [Shelf], head: &Head) {
-    let jobs = shelves.iter_mut().flat_map(|shelf| shelf.book.jobs.values_mut());
+fn forget(partitions: &mut [JobPartition], head: &Head) {
+    let jobs = partitions.iter_mut().flat_map(|partition| partition.index.jobs.values_mut());
     for job in jobs {
         let old = job.head.model == head.model && job.head.step + STEPS < head.step;
         if old {
--- a/crates/hollywell/src/entry/clean.rs
+++ b/crates/hollywell/src/entry/clean.rs
@@ -19,7 +19,7 @@
     },
     entry::{
         shared::{JOBS, Shared, TEXTS, wall_ms},
-        store::{Append, Fault, Part},
+        store::{Append, Partition, StoreError},
     },
 };
 
@@ -128,21 +128,23 @@
 /// Takes over what is to be seen of the jobs.
 fn look(shared: &Shared, spares: &mut HashMap<String, Spare>) {
     let now = shared.now();
-    let world = shared.world.borrow();
-    let jobs = || world.shelves.iter().flat_map(|shelf| &shelf.book.jobs);
+    let control = shared.control.borrow();
+    let jobs = || control.partitions.iter().flat_map(|partition| &partition.index.jobs);
     for (id, job) in jobs() {
         spares.entry(id.clone()).or_insert_with(|| Spare::new(now)).look(job, now);
     }
-    spares.retain(|id, _| world.shelves.iter().any(|shelf| shelf.book.jobs.contains_key(id)));
+    spares.retain(|id, _| {
+        control.partitions.iter().any(|partition| partition.index.jobs.contains_key(id))
+    });
 }
 
 /// Records of a partition that nothing needs and that fall to this instance.
 fn due(shared: &Shared, part: usize, spares: &HashMap<String, Spare>) -> Due {
     let status_ms = shared.settings.times.status_ms();
     let (now, wall_ms, terms) = (shared.now(), wall_ms(), Terms { status_ms });
-    let world = shared.world.borrow();
+    let control = shared.control.borrow();
     let mut due = Due::default();
-    let book = &world.shelves[part].book;
+    let book = &control.partitions[part].index;
     for (id, job) in &book.jobs {
         let Some(spare) = spares.get(id) else {
             continue;
@@ -156,7 +158,7 @@
             keys
         };
         // Asked last: it takes a hash for each instance.
-        if keys.is_empty() || owner(world.roster.members(), id, "") != Some(shared.me.as_str()) {
+        if keys.is_empty() || owner(control.roster.members(), id, "") != Some(shared.me.as_str()) {
             continue;
         }
         match after_drop {
@@ -168,7 +170,7 @@
         due.keys.heads.extend(keys.heads);
     }
     // What was read before it is due says nothing.
-    let read_at = world.shelves[part].read_at;
+    let read_at = control.partitions[part].read_at;
     let orphans = shared.orphans.0.borrow();
     for orphan in orphans.iter().filter(|orphan| orphan.part == part && read_at >= Some(orphan.due))
     {
@@ -199,12 +201,12 @@
 }
 
 /// Drops texts first: what names them is there until they are gone.
-async fn drop_due(shared: &Rc<Shared>, part: usize, due: &Due) -> Result<(), Fault> {
-    drop_keys(shared, &Part::at(TEXTS, part), &due.keys.texts).await?;
+async fn drop_due(shared: &Rc<Shared>, part: usize, due: &Due) -> Result<(), StoreError> {
+    drop_keys(shared, &Partition::at(TEXTS, part), &due.keys.texts).await?;
     for job in &due.over {
-        sweep(shared, &Part::at(TEXTS, part), job).await?;
+        sweep(shared, &Partition::at(TEXTS, part), job).await?;
     }
-    let jobs = Part::at(JOBS, part);
+    let jobs = Partition::at(JOBS, part);
     drop_keys(shared, &jobs, &due.keys.jobs).await?;
     for some in due.keys.heads.chunks(AT_ONCE / 2) {
         drop_keys(shared, &jobs, some.as_flattened()).await?;
@@ -215,7 +217,7 @@
 /// Drops texts of a job that nothing names: an instance may have ended
 /// between a text's append and that of its result. What is known was dropped
 /// before, so that mostly nothing is left.
-async fn sweep(shared: &Rc<Shared>, part: &Part, job: &str) -> Result<(), Fault> {
+async fn sweep(shared: &Rc<Shared>, part: &Partition, job: &str) -> Result<(), StoreError> {
     let first = batch::first_key(job);
     let mut after = Some(first.clone());
     while let Some(from) = after {
@@ -230,7 +232,11 @@
     Ok(())
 }
 
-async fn drop_keys(shared: &Rc<Shared>, part: &Part, keys: &[String]) -> Result<(), Fault> {
+async fn drop_keys(
+    shared: &Rc<Shared>,
+    part: &Partition,
+    keys: &[String],
+) -> Result<(), StoreError> {
     for some in keys.chunks(AT_ONCE) {
         let records = some.iter().map(|key| (Some(key.clone()), Bytes::new())).collect();
         let (part, purpose) = (part.clone(), Use::Drop);
--- a/crates/hollywell/src/entry/duties.rs
+++ b/crates/hollywell/src/entry/duties.rs
@@ -22,7 +22,7 @@
         lease::Lease,
         settings::Duties,
         shared::Shared,
-        store::{Append, Fault, Newest, Part, Records},
+        store::{Append, Newest, Partition, Records, StoreError},
         usage as counted,
     },
 };
@@ -64,7 +64,7 @@
     let Some(duties) = shared.settings.duties else {
         return;
     };
-    let lease = Lease::new(&shared, Part::new(LEASE, 0), LEASE);
+    let lease = Lease::new(&shared, Partition::new(LEASE, 0), LEASE);
     tokio::task::spawn_local(lease.clone().keep(shared.clone(), is_candidate));
     let mut office = Office { duties, lease, from: None, due_ms: 0, failures: 0 };
     loop {
@@ -77,7 +77,7 @@
         office.from.get_or_insert(duties.usage.window(now_ms));
         let is_near = now_ms + AHEAD_MS >= office.due_ms;
         office.lease.want(is_near);
-        if now_ms >= office.due_ms && !shared.world.borrow().stopping {
+        if now_ms >= office.due_ms && !shared.control.borrow().stopping {
             office.step(&shared, now_ms).await;
         }
     }
@@ -86,12 +86,12 @@
 /// Whether this instance competes: few of each failure domain do, chosen
 /// alike by all from the members.
 fn is_candidate(shared: &Shared) -> bool {
-    let world = shared.world.borrow();
-    if world.stopping {
+    let control = shared.control.borrow();
+    if control.stopping {
         return false;
     }
     let domain = roster::domain(&shared.me);
-    roster::candidates(world.roster.members(), domain, LEASE, CANDIDATES)
+    roster::candidates(control.roster.members(), domain, LEASE, CANDIDATES)
         .contains(&shared.me.as_str())
 }
 
@@ -189,7 +189,7 @@
 
 /// What the store holds of usage, the end of the partition of decisions, and
 /// the keys of pieces that nothing needs any more.
-async fn read(shared: &Shared) -> Result<(Ledger, u64, Vec<String>), Fault> {
+async fn read(shared: &Shared) -> Result<(Ledger, u64, Vec<String>), StoreError> {
     let decided = newest(shared, TOPIC).await?;
     let pieces = newest(shared, counted::TOPIC).await?;
     let mut ledger = Ledger::default();
@@ -211,9 +211,9 @@
     Ok((ledger, decided.end, spent))
 }
 
-async fn newest(shared: &Shared, topic: &str) -> Result<Records, Fault> {
+async fn newest(shared: &Shared, topic: &str) -> Result<Records, StoreError> {
     let mut newest = Newest::default();
-    let read = shared.reader.newest_on(&Part::new(topic, 0), &mut newest).await;
+    let read = shared.reader.resume_newest(&Partition::new(topic, 0), &mut newest).await;
     shared.store_did(read.is_ok());
     read?;
     Ok(newest.into_records())
@@ -223,7 +223,7 @@
 /// returns whether they were taken.
 async fn write(shared: &Shared, records: Vec<(String, Bytes)>, end: u64) -> bool {
     let records = records.into_iter().map(|(key, value)| (Some(key), value)).collect();
-    let (part, purpose) = (Part::new(TOPIC, 0), Use::Usage);
+    let (part, purpose) = (Partition::new(TOPIC, 0), Use::Usage);
     let append = Append { part, records, expected_end: Some(end), purpose };
     match shared.append(append).await {
         Ok(_) => true,
@@ -240,7 +240,7 @@
         return;
     }
     let records = keys.into_iter().map(|key| (Some(key), Bytes::new())).collect();
-    let (part, purpose) = (Part::new(counted::TOPIC, 0), Use::Drop);
+    let (part, purpose) = (Partition::new(counted::TOPIC, 0), Use::Drop);
     if let Err(fault) = shared.append(Append { part, records, expected_end: None, purpose }).await {
         log::info!("dropping counts that were reported: {fault}");
     }
--- a/crates/hollywell/src/entry/ends.rs
+++ b/crates/hollywell/src/entry/ends.rs
@@ -19,7 +19,7 @@
         jobs::Reply,
         peers,
         shared::{JOBS, Shared},
-        store::{Append, Appended, Fault, Part},
+        store::{Append, Appended, Partition, StoreError},
     },
 };
 
@@ -46,7 +46,7 @@
 /// Takes an event in and carries its effects out.
 pub fn tell(shared: &Rc<Shared>, event: &Event) {
     let now = shared.now();
-    let effects = shared.world.borrow_mut().ending.step(now, event);
+    let effects = shared.control.borrow_mut().ending.step(now, event);
     for effect in effects {
         match effect {
             Effect::Close(job) => {
@@ -90,18 +90,18 @@
 
 /// Whether a job's end was read.
 fn is_ended(shared: &Shared, job: &str) -> bool {
-    let world = shared.world.borrow();
-    let job = world.shelves[shared.part_of(job)].book.jobs.get(job);
+    let control = shared.control.borrow();
+    let job = control.partitions[shared.part_of(job)].index.jobs.get(job);
     job.is_some_and(|job| job.ended)
 }
 
 fn progress(shared: &Shared, job: &str) -> Progress {
-    let world = shared.world.borrow();
-    let known = world.shelves[shared.part_of(job)].book.jobs.get(job);
-    if known.is_none_or(|job| job.ended) || world.ending.is_stored(job) {
+    let control = shared.control.borrow();
+    let known = control.partitions[shared.part_of(job)].index.jobs.get(job);
+    if known.is_none_or(|job| job.ended) || control.ending.is_stored(job) {
         return Progress::Done;
     }
-    if world.ending.is_refused(job) { Progress::Refused } else { Progress::Open }
+    if control.ending.is_refused(job) { Progress::Refused } else { Progress::Open }
 }
 
 /// Leaves the end of a job that does not exist in the store, for when its
@@ -117,8 +117,8 @@
     });
 }
 
-async fn append_end(shared: &Shared, job: &str) -> Result<Appended, Fault> {
-    let part = Part::at(JOBS, shared.part_of(job));
+async fn append_end(shared: &Shared, job: &str) -> Result<Appended, StoreError> {
+    let part = Partition::at(JOBS, shared.part_of(job));
     let (key, value) = batch::end_record(job);
     let records = vec![(Some(key), value)];
     shared.append(Append { part, records, expected_end: None, purpose: Use::End }).await
@@ -132,7 +132,7 @@
         }
         Err(fault) => {
             log::info!("end of job {job} is kept for another append: {fault}");
-            let refused = fault.is_not_done() || matches!(fault, Fault::Malformed(_));
+            let refused = fault.is_not_applied() || matches!(fault, StoreError::Malformed(_));
             Event::Failed { job, refused }
         }
     };
@@ -152,17 +152,17 @@
     loop {
         sleep(TICK).await;
         let (members, known) = {
-            let world = shared.world.borrow();
-            let known: BTreeSet<String> = world
+            let control = shared.control.borrow();
+            let known: BTreeSet<String> = control
                 .ending
                 .jobs()
-                .filter(|job| world.shelves[shared.part_of(job)].book.jobs.contains_key(*job))
+                .filter(|job| control.partitions[shared.part_of(job)].index.jobs.contains_key(*job))
                 .map(str::to_owned)
                 .collect();
-            if world.ending.jobs().next().is_none() {
+            if control.ending.jobs().next().is_none() {
                 continue;
             }
-            (world.roster.members().to_vec(), known)
+            (control.roster.members().to_vec(), known)
         };
         for job in known.iter().filter(|job| is_ended(&shared, job)) {
             tell(&shared, &Event::Settled(job.clone()));
--- a/crates/hollywell/src/entry/feed.rs
+++ b/crates/hollywell/src/entry/feed.rs
@@ -35,8 +35,8 @@
     core::{batch::Record, fleet::Announcement, relay, time::Time},
     entry::{
         peers,
-        shared::{Shared, World},
-        store::{Part, Records},
+        shared::{Control, Shared},
+        store::{Partition, Records},
     },
 };
 
@@ -205,15 +205,15 @@
 /// What this instance hands on.
 #[derive(Debug, Default)]
 pub struct Feed {
-    logs: RefCell<HashMap<Part, Log>>,
+    logs: RefCell<HashMap<Partition, Log>>,
     changed: Notify,
     /// Who fed each partition last.
-    source: RefCell<HashMap<Part, String>>,
+    source: RefCell<HashMap<Partition, String>>,
 }
 
 impl Feed {
     /// Notes who feeds a partition; returns whether that has changed.
-    fn note_source(&self, part: &Part, source: &str) -> bool {
+    fn note_source(&self, part: &Partition, source: &str) -> bool {
         let mut known = self.source.borrow_mut();
         if known.get(part).is_some_and(|known| known == source) {
             return false;
@@ -226,20 +226,20 @@
 /// Whom this instance follows, the first choice first; nobody if it reads
 /// the store itself.
 pub(super) fn sources(shared: &Shared) -> Vec<String> {
-    let world = shared.world.borrow();
-    let all = relay::sources(world.roster.members(), &shared.me, is_crowded(shared, &world));
+    let control = shared.control.borrow();
+    let all = relay::sources(control.roster.members(), &shared.me, is_crowded(shared, &control));
     all.into_iter().map(str::to_owned).collect()
 }
 
 /// Whether the store cannot serve all instances.
-fn is_crowded(shared: &Shared, world: &World) -> bool {
+fn is_crowded(shared: &Shared, control: &Control) -> bool {
     let demand = relay::Demand {
-        instances: world.roster.members().len(),
-        targets: world.fleet.targets.len(),
+        instances: control.roster.members().len(),
+        targets: control.fleet.targets.len(),
         beat_ms: u64::try_from(shared.settings.times.beat.as_millis()).unwrap_or(u64::MAX),
     };
     // How many read it is not known where not all show.
-    world.census.is_full() || relay::is_crowded(shared.settings.store.supply, demand)
+    control.census.is_full() || relay::is_crowded(shared.settings.store.supply, demand)
 }
 
 /// Whether this instance follows others.
@@ -249,30 +249,30 @@
 
 /// How many instances ask the one that this instance follows.
 pub(super) fn followers(shared: &Shared) -> usize {
-    relay::followers(shared.world.borrow().roster.members(), &shared.me)
+    relay::followers(shared.control.borrow().roster.members(), &shared.me)
 }
 
 /// How many instances read the store's partitions, as far as is known.
 pub(super) fn readers(shared: &Shared) -> usize {
     match is_source(shared) {
         true => relay::ROOTS * shared.settings.domains.len(),
-        false => shared.world.borrow().roster.members().len(),
+        false => shared.control.borrow().roster.members().len(),
     }
 }
 
 /// Whether others follow this instance.
 pub(super) fn is_source(shared: &Shared) -> bool {
-    let world = shared.world.borrow();
-    relay::is_source(world.roster.members(), &shared.me, is_crowded(shared, &world))
+    let control = shared.control.borrow();
+    relay::is_source(control.roster.members(), &shared.me, is_crowded(shared, &control))
 }
 
 /// Notes what was read of a partition from its beginning, so that only what
 /// says something else is handed on. Without it the first heartbeats of all
 /// targets pushed out what had followed the reading that others had been given.
-pub(super) fn begin(shared: &Shared, part: &Part, newest: &Records) {
+pub(super) fn begin(shared: &Shared, part: &Partition, newest: &Records) {
     {
-        let world = shared.world.borrow();
-        let members = world.roster.members();
+        let control = shared.control.borrow();
+        let members = control.roster.members();
         let is_root = relay::parent(members, &shared.me).is_none();
         if !is_root || !relay::is_used(members, &shared.me) {
             return;
@@ -291,7 +291,7 @@
 
 /// Keeps what was read of a partition from an offset on for those who follow
 /// this instance.
-pub(super) fn keep(shared: &Shared, part: &Part, from: u64, read: &Records, asked_at: Time) {
+pub(super) fn keep(shared: &Shared, part: &Partition, from: u64, read: &Records, asked_at: Time) {
     let mut logs = shared.feed.logs.borrow_mut();
     let log = logs.entry(part.clone()).or_default();
     if log.end != from {
@@ -313,7 +313,7 @@
 
 /// What follows an offset of a partition, from whomever this instance
 /// follows.
-pub(super) async fn ask(shared: &Rc<Shared>, part: &Part, from: u64) -> Answer {
+pub(super) async fn ask(shared: &Rc<Shared>, part: &Partition, from: u64) -> Answer {
     let mut nothing = Answer::Nobody;
     for source in sources(shared).into_iter().take(TRIES) {
         let asked_at = shared.now();
@@ -353,7 +353,7 @@
 /// Asks one of them; `None` if it does not know what follows the offset.
 async fn ask_one(
     shared: &Rc<Shared>,
-    part: &Part,
+    part: &Partition,
     from: u64,
     source: &str,
 ) -> Result<Option<Word>, String> {
@@ -404,9 +404,9 @@
 }
 
 /// The partition and the offset that a path names.
-fn named(path: &str) -> Option<(Part, u64)> {
+fn named(path: &str) -> Option<(Partition, u64)> {
     let mut parts = path.strip_prefix(PATH)?.rsplitn(3, '/');
     let from = parts.next()?.parse().ok()?;
     let number = parts.next()?.parse().ok()?;
-    Some((Part::new(parts.next()?, number), from))
+    Some((Partition::new(parts.next()?, number), from))
 }
--- a/crates/hollywell/src/entry/follow.rs
+++ b/crates/hollywell/src/entry/follow.rs
@@ -25,8 +25,8 @@
         dialect::Wish,
         feed::{self, Fed},
         plans, relay,
-        shared::{JOBS, Shared, World},
-        store::{Fault, Newest, Part, Read, Records},
+        shared::{Control, JOBS, Shared},
+        store::{Newest, Partition, Read, Records, StoreError},
     },
 };
 
@@ -98,7 +98,12 @@
     }
 
     /// Reads on: through another instance where this one follows any.
-    async fn read(&mut self, shared: &Rc<Shared>, part: &Part, is_fed: bool) -> Result<Fed, Fault> {
+    async fn read(
+        &mut self,
+        shared: &Rc<Shared>,
+        part: &Partition,
+        is_fed: bool,
+    ) -> Result<Fed, StoreError> {
         if is_fed && let Some(fed) = self.read_fed(shared, part).await {
             return Ok(fed);
         }
@@ -110,7 +115,7 @@
 
     /// Takes what another instance hands on; of a partition that is not read
     /// yet, only where all of it is.
-    async fn read_fed(&mut self, shared: &Rc<Shared>, part: &Part) -> Option<Fed> {
+    async fn read_fed(&mut self, shared: &Rc<Shared>, part: &Partition) -> Option<Fed> {
         if self.next.is_none() && part.topic != shared.dialect.announcements {
             return None;
         }
@@ -127,7 +132,7 @@
     /// Asks those that this instance follows. While they live and have not
     /// read the partition themselves, all that follow them would only make them
     /// wait longer at the store.
-    async fn ask(&self, shared: &Rc<Shared>, part: &Part) -> Option<Fed> {
+    async fn ask(&self, shared: &Rc<Shared>, part: &Partition) -> Option<Fed> {
         let patience = if self.is_current { Duration::ZERO } else { NOT_YET };
         let until = Instant::now() + patience;
         loop {
@@ -145,11 +150,11 @@
     async fn read_newest(
         &mut self,
         shared: &Rc<Shared>,
-        part: &Part,
+        part: &Partition,
         is_fed: bool,
-    ) -> Result<Fed, Fault> {
+    ) -> Result<Fed, StoreError> {
         let asked_at = shared.now();
-        shared.reader.newest_on(part, &mut self.newest).await?;
+        shared.reader.resume_newest(part, &mut self.newest).await?;
         shared.store_did(true);
         let records = std::mem::take(&mut self.newest).into_records();
         if is_fed {
@@ -165,14 +170,14 @@
     async fn read_on(
         &self,
         shared: &Rc<Shared>,
-        part: &Part,
+        part: &Partition,
         is_fed: bool,
         from: u64,
-    ) -> Result<Fed, Fault> {
+    ) -> Result<Fed, StoreError> {
         let asked_at = shared.now();
         let is_source = is_fed && feed::is_source(shared);
         let wait = if is_source { self.wait.min(SOURCE_WAIT) } else { self.wait };
-        let read = Read { part: part.clone(), from, wait, most_kb: None };
+        let read = Read { part: part.clone(), from, wait, max_kb: None };
         let records = shared.reader.read(read).await?;
         shared.store_did(true);
         if is_source {
@@ -205,7 +210,7 @@
 /// reads there is a `pause`, which `sooner` ends.
 pub(super) async fn follow(
     shared: Rc<Shared>,
-    part: Part,
+    part: Partition,
     pause: impl Fn(&Shared) -> Duration,
     sooner: Option<&Notify>,
     keyed: bool,
@@ -240,7 +245,7 @@
                     None => sleep_until(next).await,
                 }
             }
-            Err(Fault::Gone(first)) => {
+            Err(StoreError::Trimmed(first)) => {
                 shared.store_did(true);
                 log::warn!("records of {}/{} before {first} are gone", part.topic, part.number);
                 position.next = (!keyed).then_some(first);
@@ -271,9 +276,9 @@
     let hurry = shared.clone();
     let pause = move |shared: &Shared| jobs_pause(shared, part);
     let sooner = Some(&hurry.accepted[part]);
-    follow(shared, Part::at(JOBS, part), pause, sooner, true, move |shared, records, from| {
+    follow(shared, Partition::at(JOBS, part), pause, sooner, true, move |shared, records, from| {
         let end = if from.anew { records.end } else { 0 };
-        shared.world.borrow_mut().shelves[part].read_at = from.asked_at;
+        shared.control.borrow_mut().partitions[part].read_at = from.asked_at;
         if from.anew {
             shared.drop_missing(part, &records);
         }
@@ -284,7 +289,7 @@
 
 /// Follows the targets' announcements.
 pub async fn fleet(shared: Rc<Shared>) {
-    let part = Part::new(shared.dialect.announcements, 0);
+    let part = Partition::new(shared.dialect.announcements, 0);
     follow(
         shared,
         part,
@@ -294,20 +299,20 @@
         |shared, records, from| {
             let now = shared.now();
             {
-                let world = &mut *shared.world.borrow_mut();
+                let control = &mut *shared.control.borrow_mut();
                 if from.anew {
                     // Whatever is not among the newest has vanished unseen.
                     let listed: HashSet<&str> =
                         records.records.iter().map(|record| record.key.as_str()).collect();
-                    let ids: Vec<String> = world.fleet.targets.keys().cloned().collect();
+                    let ids: Vec<String> = control.fleet.targets.keys().cloned().collect();
                     for id in ids.iter().filter(|id| !listed.contains(id.as_str())) {
-                        world.fleet.vanish(now, id);
+                        control.fleet.vanish(now, id);
                     }
                 }
                 for record in &records.records {
-                    entry(shared, world, now, record);
+                    entry(shared, control, now, record);
                 }
-                world.fleet_known |= from.asked_at.is_some();
+                control.fleet_loaded |= from.asked_at.is_some();
             }
             shared.tell(&crate::core::dispatch::Event::Tick);
         },
@@ -316,36 +321,36 @@
 }
 
 /// Takes one entry of a target in.
-fn entry(shared: &Shared, world: &mut World, now: Time, record: &Record) {
+fn entry(shared: &Shared, control: &mut Control, now: Time, record: &Record) {
     let id = &record.key;
     let Some(value) = &record.value else {
         log::info!("target {id} vanished");
-        world.fleet.vanish(now, id);
+        control.fleet.vanish(now, id);
         return;
     };
     match (shared.dialect.announcement)(id, value) {
-        Ok(said) => announced(shared, world, now, said),
+        Ok(said) => announced(shared, control, now, said),
         Err(why) => {
             shared.meters.entries_skipped.inc();
-            if world.fleet.skip(id, &why) {
+            if control.fleet.skip(id, &why) {
                 log::warn!("entry of {id} names no target to use: {why}");
             }
         }
     }
 }
 
-fn announced(shared: &Shared, world: &mut World, now: Time, said: Announcement) {
+fn announced(shared: &Shared, control: &mut Control, now: Time, said: Announcement) {
     let (id, born) = (said.id.clone(), said.born);
-    match world.fleet.announce(now, said) {
+    match control.fleet.announce(now, said) {
         Heard::Taken => {}
         Heard::Outdated => log::info!("entry of {id}, start {born:?}, is out of date"),
-        Heard::Restarted(address) => shared.restarted(world, &id, address),
+        Heard::Restarted(address) => shared.restarted(control, &id, address),
     }
 }
 
 /// Follows the operator's wishes: the configuration and the newest weights.
 pub async fn wishes(shared: Rc<Shared>) {
-    let part = Part::new(shared.dialect.wishes, 0);
+    let part = Partition::new(shared.dialect.wishes, 0);
     follow(
         shared,
         part,
--- a/crates/hollywell/src/entry/forward.rs
+++ b/crates/hollywell/src/entry/forward.rs
@@ -263,7 +263,7 @@
             }
         };
         let Some(target) = target else {
-            if shared.world.borrow().stopping {
+            if shared.control.borrow().stopping {
                 break;
             }
             if let hold::Next::Reject(ms) = hold::next(sight(shared, route, salt, left_ms)) {
@@ -290,7 +290,7 @@
         }
         if let Sent::Answered(_) = &sent {
             let took_ms = shared.now().since(now);
-            shared.world.borrow_mut().sights.answered(&target.id, took_ms);
+            shared.control.borrow_mut().observations.answered(&target.id, took_ms);
         }
         if let Some(whole) = attempt.note(route, target.id, sent) {
             return Verdict::Answered(whole);
@@ -306,12 +306,12 @@
 
 /// What is known of a route's targets where none of them can take a request.
 fn sight(shared: &Shared, route: &Route, salt: u64, left_ms: u64) -> hold::Sight {
-    let world = shared.world.borrow();
+    let control = shared.control.borrow();
     let pool = pick_pool(route, salt).unwrap_or("");
-    let usable = || world.fleet.usable(pool).map(|target| target.said.id.as_str());
-    let answers = usable().filter_map(|id| world.sights.of(id)?.answer_ms);
+    let usable = || control.fleet.usable(pool).map(|target| target.said.id.as_str());
+    let answers = usable().filter_map(|id| control.observations.of(id)?.answer_ms);
     let usual_ms = answers.min_by(f64::total_cmp).map(|ms| ms as u64);
-    hold::Sight { known: world.fleet_known, usable: usable().count(), usual_ms, left_ms }
+    hold::Sight { known: control.fleet_loaded, usable: usable().count(), usual_ms, left_ms }
 }
 
 fn patience(route: &Route) -> u64 {
@@ -319,10 +319,10 @@
 }
 
 fn choose(shared: &Shared, route: &Route, tried: &[String], salt: u64) -> Option<Announcement> {
-    let world = shared.world.borrow();
+    let control = shared.control.borrow();
     let pool = pick_pool(route, salt)?;
     let now = shared.now();
-    let all = || world.fleet.usable(pool).map(|target| &target.said);
+    let all = || control.fleet.usable(pool).map(|target| &target.said);
     let reserved = suspects::reserved(shared, pool);
     let is_reserved = |target: &Announcement| reserved.as_ref() == Some(&target.id);
     let fresh = all().filter(|target| !tried.contains(&target.id) && !is_reserved(target));
@@ -330,12 +330,13 @@
     let mine = xxhash_rust::xxh3::xxh3_64(shared.me.as_bytes());
     let salt = mine ^ salt.wrapping_add(tried.len() as u64);
     let need = Need { events: 1.0, most_load: MOST_LOAD, sharers: 1.0, salt };
-    let choice = world.sights.choose(now, fresh, need);
+    let choice = control.observations.choose(now, fresh, need);
     // Where every other one was asked or is avoided, one that was asked
     // before is better than nobody: the request's time is running.
     let choice = choice.or_else(|| {
         let times = |target: &&Announcement| tried.iter().filter(|id| **id == target.id).count();
-        let usable = all().filter(|target| world.sights.load_of(now, &target.id) < full(target));
+        let usable =
+            all().filter(|target| control.observations.load_of(now, &target.id) < full(target));
         usable.min_by_key(times)
     });
     choice.cloned()
@@ -343,8 +344,8 @@
 
 /// Whether a target may be asked once more.
 fn has_room(shared: &Shared, target: &Announcement) -> bool {
-    let world = shared.world.borrow();
-    world.sights.load_of(shared.now(), &target.id) < full(target)
+    let control = shared.control.borrow();
+    control.observations.load_of(shared.now(), &target.id) < full(target)
 }
 
 /// Requests at a target from which on it is not asked.
@@ -382,7 +383,7 @@
 
 async fn send(shared: &Rc<Shared>, route: &Route, trip: &Trip<'_>) -> Sent {
     let &Trip { plain, target, limit_ms, left_ms, .. } = trip;
-    shared.world.borrow_mut().sights.sent(&target.id);
+    shared.control.borrow_mut().observations.sent(&target.id);
     let _count = Counted { shared, id: &target.id };
     let limit = Duration::from_millis(limit_ms);
     let started = shared.now();
@@ -424,7 +425,7 @@
             note_unanswered(shared, plain, target, &error);
             if error != Error::Stale {
                 let now = shared.now();
-                shared.world.borrow_mut().sights.broke(now, &target.id);
+                shared.control.borrow_mut().observations.broke(now, &target.id);
             }
             if error.is_not_sent() {
                 // The send before it may have run.
@@ -453,7 +454,7 @@
 impl Drop for Counted<'_> {
     fn drop(&mut self) {
         let now = self.shared.now();
-        self.shared.world.borrow_mut().sights.ended(now, self.id);
+        self.shared.control.borrow_mut().observations.ended(now, self.id);
     }
 }
 
@@ -462,13 +463,13 @@
     let names = &shared.dialect.headers;
     let now = shared.now();
     if let Some(load) = answer.header(&names.load).and_then(shared.dialect.load) {
-        shared.world.borrow_mut().sights.load(now, &target.id, load);
+        shared.control.borrow_mut().observations.load(now, &target.id, load);
     }
     let status = answer.head.status;
     let not_run = answer.head.headers.contains_key(&names.not_run)
         || status == StatusCode::MISDIRECTED_REQUEST;
     if not_run {
-        shared.world.borrow_mut().sights.full(now, &target.id);
+        shared.control.borrow_mut().observations.full(now, &target.id);
         log::debug!("request {} at {}: not run, {status}", plain.id, target.id);
         return Sent::NotRun;
     }
@@ -486,7 +487,7 @@
             for name in HOP_BY_HOP.iter().chain([&header::CONTENT_LENGTH]) {
                 headers.remove(name);
             }
-            shared.world.borrow_mut().sights.sound(now, &target.id);
+            shared.control.borrow_mut().observations.sound(now, &target.id);
             suspects::served(shared, || plain.digest());
             Sent::Answered(Whole { status, headers, body })
         }
@@ -505,7 +506,7 @@
 
 /// Whether the target has ended under a send.
 async fn look(shared: &Rc<Shared>, trip: &Trip<'_>) -> bool {
-    let mine = shared.world.borrow().sights.of(&trip.target.id).map(|sight| sight.mine);
+    let mine = shared.control.borrow().observations.of(&trip.target.id).map(|sight| sight.mine);
     let is_alone = trip.is_trial && mine == Some(1);
     suspects::look(shared, trip.target, trip.plain.digest(), is_alone).await
 }
--- a/crates/hollywell/src/entry/ingress.rs
+++ b/crates/hollywell/src/entry/ingress.rs
@@ -99,15 +99,15 @@
         log::debug!("a connection: {error}");
     }
     let idle_ms = {
-        let world = shared.world.borrow();
-        world.plan.as_ref().map_or(IDLE_MS, |plan| plan.idle_ms.max(plan.header_ms))
+        let control = shared.control.borrow();
+        control.configuration.as_ref().map_or(IDLE_MS, |plan| plan.idle_ms.max(plan.header_ms))
     };
     let service = service_fn(|request| {
         let (shared, open) = (shared.clone(), open.clone());
         async move {
             let _entered = Entered::new(&open);
             let mut response = answer(&shared, request).await;
-            if shared.world.borrow().stopping {
+            if shared.control.borrow().stopping {
                 let close = HeaderValue::from_static("close");
                 response.headers_mut().insert(header::CONNECTION, close);
             }
@@ -193,14 +193,14 @@
 /// Whether this instance takes callers.
 #[must_use]
 pub fn is_ready(shared: &Shared) -> bool {
-    let world = shared.world.borrow();
-    let loaded = world.shelves.iter().all(|shelf| shelf.loaded);
-    !world.stopping
+    let control = shared.control.borrow();
+    let loaded = control.partitions.iter().all(|partition| partition.loaded);
+    !control.stopping
         && loaded
-        && world.plan.is_some()
-        && world.poison_known
-        && world.fleet_known
-        && !world.fleet.store_away
+        && control.configuration.is_some()
+        && control.poison_loaded
+        && control.fleet_loaded
+        && !control.fleet.store_away
 }
 
 /// All meters as text.
@@ -209,11 +209,11 @@
     let meters = &shared.meters;
     let gauge = |value: usize| i64::try_from(value).unwrap_or(i64::MAX);
     {
-        let world = shared.world.borrow();
-        let plan = world.plan.as_ref().map_or(0, |plan| plan.version);
+        let control = shared.control.borrow();
+        let plan = control.configuration.as_ref().map_or(0, |plan| plan.version);
         meters.plan.set(i64::try_from(plan).unwrap_or(i64::MAX));
-        meters.members.set(gauge(world.roster.members().len()));
-        meters.in_flight.set(gauge(world.dispatch.in_flight()));
+        meters.members.set(gauge(control.roster.members().len()));
+        meters.in_flight.set(gauge(control.dispatch.in_flight()));
     }
     meters.connections.set(i64::try_from(shared.pool.opened.get()).unwrap_or(i64::MAX));
     meters.ready.set(i64::from(is_ready(shared)));
@@ -238,8 +238,8 @@
 /// The configuration, once it is known, and what is known against requests
 /// with it: an instance that starts must not end targets that others spare.
 fn known_plan(shared: &Shared) -> Option<Rc<Plan>> {
-    let world = shared.world.borrow();
-    world.plan.clone().filter(|_| world.poison_known)
+    let control = shared.control.borrow();
+    control.configuration.clone().filter(|_| control.poison_loaded)
 }
 
 async fn routed(shared: &Rc<Shared>, request: Request<Incoming>, arrived: Time) -> Reply200 {
--- a/crates/hollywell/src/entry/jobs.rs
+++ b/crates/hollywell/src/entry/jobs.rs
@@ -28,7 +28,7 @@
         news::{self, News},
         room, samples,
         shared::{JOBS, Shared, wall_ms},
-        store::{Append, Fault, Part, Read},
+        store::{Append, Partition, Read, StoreError},
         texts, unbegun,
     },
     error::Kind,
@@ -115,9 +115,9 @@
     // runs, whatever became of this append.
     let (samples, bundles) = match samples::put(shared, job, decoded).await {
         Ok(put) => put,
-        Err(Fault::Full) => return no_room(shared, job, FULL_MS),
+        Err(StoreError::Full) => return no_room(shared, job, FULL_MS),
         Err(fault) => {
-            if fault.is_not_done() {
+            if fault.is_not_applied() {
                 shared.orphans.refused(shared.now(), job);
             }
             log::info!("job {job} refused, its samples: {fault}");
@@ -172,15 +172,15 @@
     there: impl Fn(&Shared) -> bool,
 ) -> Reply {
     let records = vec![(Some(key), value)];
-    let (at, purpose) = (Part::at(JOBS, part), Use::Head);
+    let (at, purpose) = (Partition::at(JOBS, part), Use::Head);
     let append = Append { part: at, records, expected_end: None, purpose };
     match shared.append(append).await {
         Ok(_) => {
             log::info!("{what} accepted");
             Reply::Done
         }
-        Err(Fault::Full) => Reply::NoRoom(FULL_MS),
-        Err(fault) if fault.is_not_done() => {
+        Err(StoreError::Full) => Reply::NoRoom(FULL_MS),
+        Err(fault) if fault.is_not_applied() => {
             log::info!("{what} refused: {fault}");
             Reply::NotDone
         }
@@ -192,13 +192,13 @@
 }
 
 fn known(shared: &Shared, part: usize, job: &str) -> bool {
-    shared.world.borrow().shelves[part].book.jobs.contains_key(job)
+    shared.control.borrow().partitions[part].index.jobs.contains_key(job)
 }
 
 /// Whether a job is known that the caller may see.
 fn is_seen(shared: &Shared, caller: &Caller, part: usize, job: &str) -> bool {
-    let world = shared.world.borrow();
-    let head = world.shelves[part].book.jobs.get(job).map(|job| &job.head);
+    let control = shared.control.borrow();
+    let head = control.partitions[part].index.jobs.get(job).map(|job| &job.head);
     head.is_some_and(|head| caller.may_see(&head.organisation))
 }
 
@@ -229,23 +229,24 @@
 pub async fn catch_up(shared: &Rc<Shared>, part: usize) -> bool {
     loop {
         let (from, loaded) = {
-            let world = shared.world.borrow();
-            (world.shelves[part].next, world.shelves[part].loaded)
+            let control = shared.control.borrow();
+            (control.partitions[part].next, control.partitions[part].loaded)
         };
         if !loaded {
             return false;
         }
-        let read = Read { part: Part::at(JOBS, part), from, wait: Duration::ZERO, most_kb: None };
+        let read =
+            Read { part: Partition::at(JOBS, part), from, wait: Duration::ZERO, max_kb: None };
         match shared.reader.read(read).await {
             Ok(records) => {
                 shared.store_did(true);
                 shared.absorb(part, &records.records, 0);
-                if shared.world.borrow().shelves[part].next >= records.end {
+                if shared.control.borrow().partitions[part].next >= records.end {
                     return true;
                 }
             }
             // The follower starts over by itself.
-            Err(Fault::Gone(_)) => return false,
+            Err(StoreError::Trimmed(_)) => return false,
             Err(fault) => {
                 shared.store_did(false);
                 log::info!("catching up with {JOBS}/{part}: {fault}");
@@ -271,8 +272,8 @@
     let part = shared.part_of(job);
     let until = Instant::now() + hold;
     let listed = |shared: &Shared| {
-        let world = shared.world.borrow();
-        let job = world.shelves[part].book.jobs.get(job)?;
+        let control = shared.control.borrow();
+        let job = control.partitions[part].index.jobs.get(job)?;
         let due = job.is_worth_reading(after) || after >= job.done.len();
         Some((job.listed.len(), due))
     };
@@ -355,8 +356,8 @@
     job: &str,
     after: usize,
 ) -> Option<(usize, Vec<Outcome>)> {
-    let world = shared.world.borrow();
-    let job = world.shelves[part].book.jobs.get(job)?;
+    let control = shared.control.borrow();
+    let job = control.partitions[part].index.jobs.get(job)?;
     let mut outcomes: Vec<Outcome> = Vec::new();
     let mut bytes = 0;
     for listed in job.listed.iter().skip(after) {
@@ -386,8 +387,8 @@
         return Reply::Missing;
     }
     let at = {
-        let world = shared.world.borrow();
-        let found = world.shelves[part].book.jobs.get(job);
+        let control = shared.control.borrow();
+        let found = control.partitions[part].index.jobs.get(job);
         found.and_then(|job| job.index.get(sample).copied().filter(|at| !job.done[*at]))
     };
     let Some(at) = at else {
@@ -412,8 +413,8 @@
         return Reply::Missing;
     }
     let ended = {
-        let world = shared.world.borrow();
-        world.shelves[part].book.jobs.get(job).map(|job| job.ended)
+        let control = shared.control.borrow();
+        control.partitions[part].index.jobs.get(job).map(|job| job.ended)
     };
     match ended {
         None if current => {
@@ -431,7 +432,7 @@
     let part = shared.part_of(&slot.job);
     let (mut failures, mut tries) = (0, 0);
     loop {
-        let wanted = shared.world.borrow().wants(part, &slot);
+        let wanted = shared.control.borrow().wants(part, &slot);
         if !wanted {
             return;
         }
@@ -443,7 +444,7 @@
             shared.tell(&Event::Scored(slot));
             return;
         };
-        let plan = shared.world.borrow().plan.clone();
+        let plan = shared.control.borrow().configuration.clone();
         let route = plan.as_ref().and_then(|plan| plan.route(&scorer.host, &scorer.path));
         let Some(mut route) = route.cloned() else {
             sleep(SCORE_PAUSE).await;
@@ -473,7 +474,7 @@
         match forward::run(&shared, &route, &plain, tries).await {
             Verdict::Answered(answer) if answer.status.is_success() => {
                 let signature = answer.signature(&shared.dialect.headers.signature);
-                if let Some(text) = shared.world.borrow_mut().texts.get_mut(&slot) {
+                if let Some(text) = shared.control.borrow_mut().partial_texts.get_mut(&slot) {
                     text.score = signature;
                 }
                 shared.tell(&Event::Scored(slot));
--- a/crates/hollywell/src/entry/lease.rs
+++ b/crates/hollywell/src/entry/lease.rs
@@ -17,7 +17,7 @@
     },
     entry::{
         shared::Shared,
-        store::{Append, Fault, Part, Read},
+        store::{Append, Partition, Read, StoreError},
     },
 };
 
@@ -32,7 +32,7 @@
 /// A lease as one instance sees it.
 #[derive(Debug)]
 pub(super) struct Lease {
-    part: Part,
+    part: Partition,
     /// What it is on, for logs.
     what: String,
     terms: Terms,
@@ -45,7 +45,7 @@
 
 impl Lease {
     /// A lease that nobody is known to hold.
-    pub(super) fn new(shared: &Shared, part: Part, what: &str) -> Rc<Lease> {
+    pub(super) fn new(shared: &Shared, part: Partition, what: &str) -> Rc<Lease> {
         let apart_ms = u64::try_from(shared.settings.times.lease.as_millis()).unwrap_or(u64::MAX);
         Rc::new(Lease {
             part,
@@ -120,7 +120,7 @@
 
     async fn read(&self, shared: &Rc<Shared>) {
         let from = self.tenure.borrow().end;
-        let read = Read { part: self.part.clone(), from, wait: RENEW, most_kb: None };
+        let read = Read { part: self.part.clone(), from, wait: RENEW, max_kb: None };
         match shared.reader.read(read).await {
             Ok(records) => {
                 shared.store_did(true);
@@ -134,7 +134,7 @@
                 }
                 tenure.read_to(records.end);
             }
-            Err(Fault::Gone(first)) => self.tenure.borrow_mut().end = first,
+            Err(StoreError::Trimmed(first)) => self.tenure.borrow_mut().end = first,
             Err(fault) => {
                 shared.store_did(false);
                 log::info!("reading the lease of {}: {fault}", self.what);
@@ -166,7 +166,7 @@
                 }
                 self.tenure.borrow_mut().granted(sent, appended.offset, &claim, self.terms);
             }
-            Err(Fault::Moved(_)) => {
+            Err(StoreError::EndMismatch(_)) => {
                 // Whose claim came first, or whether it was one of this
                 // instance's whose answer was lost, is read next.
                 self.read(shared).await;
--- a/crates/hollywell/src/entry/member.rs
+++ b/crates/hollywell/src/entry/member.rs
@@ -25,7 +25,7 @@
     entry::{
         feed, peers,
         shared::Shared,
-        store::{Fault, Join},
+        store::{Join, StoreError},
     },
 };
 
@@ -127,8 +127,8 @@
 ///
 /// # Errors
 ///
-/// The store's [`Fault`]; the member then ends by its time to live.
-pub async fn leave(shared: &Rc<Shared>) -> Result<(), Fault> {
+/// The store's [`StoreError`]; the member then ends by its time to live.
+pub async fn leave(shared: &Rc<Shared>) -> Result<(), StoreError> {
     (shared.store.leave)((GROUP.to_owned(), shared.me.clone())).await
 }
 
@@ -163,8 +163,8 @@
 /// Waits until the group is to be read again.
 async fn pause(shared: &Shared) {
     let is_unsettled = {
-        let world = shared.world.borrow();
-        world.roster.is_unsettled() || !world.census.is_settled()
+        let control = shared.control.borrow();
+        control.roster.is_unsettled() || !control.census.is_settled()
     };
     // A reading lists every partition, and all readers share the store.
     let crowd = (feed::readers(shared) as f64 / LOOK_MEMBERS).max(1.0);
@@ -179,10 +179,10 @@
 /// Notes how many members a reading of the store shows, of how many may.
 fn note(shared: &Shared, listing: &Listing) {
     let is_full = {
-        let world = &mut *shared.world.borrow_mut();
-        world.census.read(listing.members.len(), listing.partitions);
-        let is_full = world.census.is_full();
-        world.roster.is_of_full_group(is_full);
+        let control = &mut *shared.control.borrow_mut();
+        control.census.read(listing.members.len(), listing.partitions);
+        let is_full = control.census.is_full();
+        control.roster.is_of_full_group(is_full);
         is_full
     };
     if is_full && !shared.membership.full.replace(true) {
@@ -194,7 +194,7 @@
 /// Takes the members from an instance that reads them for others; returns
 /// whether that went well.
 async fn follow(shared: &Rc<Shared>) -> bool {
-    if !shared.world.borrow().census.is_settled() {
+    if !shared.control.borrow().census.is_settled() {
         return false;
     }
     for source in feed::sources(shared) {
@@ -202,9 +202,9 @@
         match ask(shared, &source).await {
             Ok(word) => {
                 let known = {
-                    let world = &mut *shared.world.borrow_mut();
-                    world.roster.is_of_full_group(word.full);
-                    world.roster.members().to_vec()
+                    let control = &mut *shared.control.borrow_mut();
+                    control.roster.is_of_full_group(word.full);
+                    control.roster.members().to_vec()
                 };
                 let members = if word.members.is_empty() { known } else { word.members };
                 take(shared, &members, Time(asked_at.0.saturating_sub(word.age_ms)));
@@ -217,7 +217,7 @@
 }
 
 async fn ask(shared: &Rc<Shared>, source: &str) -> Result<Word, String> {
-    let known = mark(shared.world.borrow().roster.members());
+    let known = mark(shared.control.borrow().roster.members());
     let answer = peers::get(shared, source, &format!("{PATH}{known}"), SILENCE).await?;
     let status = answer.head.status;
     let body = answer.whole(ANSWER_BYTES, SILENCE).await.map_err(|error| error.to_string())?;
@@ -247,8 +247,8 @@
             return peers::nothing(StatusCode::SERVICE_UNAVAILABLE);
         };
         let (members, full) = {
-            let world = shared.world.borrow();
-            (world.roster.members().to_vec(), world.census.is_full())
+            let control = shared.control.borrow();
+            (control.roster.members().to_vec(), control.census.is_full())
         };
         let (mark, age_ms) = (mark(&members), shared.now().since(known_at));
         if mark != known {
@@ -277,10 +277,10 @@
 fn take(shared: &Rc<Shared>, read: &[String], asked_at: Time) {
     let now = shared.now();
     let (before, changed) = {
-        let world = &mut *shared.world.borrow_mut();
-        let before = world.roster.members().to_vec();
-        let changed = world.roster.read(now, read, world.fleet.store_back_at);
-        (before, changed.then(|| world.roster.members().to_vec()))
+        let control = &mut *shared.control.borrow_mut();
+        let before = control.roster.members().to_vec();
+        let changed = control.roster.read(now, read, control.fleet.store_back_at);
+        (before, changed.then(|| control.roster.members().to_vec()))
     };
     shared.membership.known_at.set(Some(asked_at));
     if let Some(members) = changed {
--- a/crates/hollywell/src/entry/news.rs
+++ b/crates/hollywell/src/entry/news.rs
@@ -13,7 +13,7 @@
     entry::{
         follow, room,
         shared::Shared,
-        store::{Append, Part},
+        store::{Append, Partition},
     },
 };
 
@@ -50,7 +50,7 @@
 pub async fn tell(shared: &Rc<Shared>, news: &News) {
     let value = serde_json::to_vec(news).unwrap_or_default();
     let records = vec![(None, value.into())];
-    let (part, purpose) = (Part::new(TOPIC, 0), Use::News);
+    let (part, purpose) = (Partition::new(TOPIC, 0), Use::News);
     match shared.append(Append { part, records, expected_end: None, purpose }).await {
         Ok(_) => {}
         Err(fault) => log::info!("telling {news:?}: {fault}"),
@@ -59,7 +59,7 @@
 
 /// Follows the news.
 pub async fn serve(shared: Rc<Shared>) {
-    let part = Part::new(TOPIC, 0);
+    let part = Partition::new(TOPIC, 0);
     follow::follow(
         shared,
         part,
@@ -71,7 +71,7 @@
                 let value = record.value.clone().unwrap_or_default();
                 match serde_json::from_slice(&value) {
                     Ok(News::Loaded(load)) => {
-                        let fleet = &mut shared.world.borrow_mut().fleet;
+                        let fleet = &mut shared.control.borrow_mut().fleet;
                         fleet.answered(&load.target, load.born, &load.model, load.version);
                     }
                     Ok(News::Trimmed { part, texts, before }) => {
--- a/crates/hollywell/src/entry/orders.rs
+++ b/crates/hollywell/src/entry/orders.rs
@@ -20,8 +20,8 @@
         dialect::VersionOrder,
         lease::Lease,
         news::{self, News},
-        shared::{Shared, World},
-        store::Part,
+        shared::{Control, Shared},
+        store::Partition,
     },
 };
 
@@ -56,7 +56,7 @@
 pub async fn serve(shared: Rc<Shared>) {
     let domain = shared.settings.domain.clone();
     let number = shared.settings.domains.iter().position(|name| *name == domain);
-    let part = Part::at(LEASES, number.unwrap_or_default());
+    let part = Partition::at(LEASES, number.unwrap_or_default());
     let lease = Lease::new(&shared, part, &domain);
     tokio::task::spawn_local(lease.clone().keep(shared.clone(), is_candidate));
     let office = Rc::new(Office { lease, roll: RefCell::default() });
@@ -64,7 +64,7 @@
     loop {
         sleep(pause).await;
         let started = Instant::now();
-        if !shared.world.borrow().stopping {
+        if !shared.control.borrow().stopping {
             give(&shared, &office, &domain);
         }
         pause = TICK.max(started.elapsed() * LOOK_PART);
@@ -73,9 +73,9 @@
 
 /// Whether this instance competes for its failure domain's lease.
 fn is_candidate(shared: &Shared) -> bool {
-    let world = shared.world.borrow();
+    let control = shared.control.borrow();
     let domain = roster::domain(&shared.me);
-    let all = roster::candidates(world.roster.members(), domain, LEASES, CANDIDATES);
+    let all = roster::candidates(control.roster.members(), domain, LEASES, CANDIDATES);
     // Before the members are known, everybody does.
     all.is_empty() || all.contains(&shared.me.as_str())
 }
@@ -86,18 +86,18 @@
         return;
     }
     {
-        let world = shared.world.borrow();
-        office.lease.want(roll::is_due(domain, &world.models, &world.fleet));
+        let control = shared.control.borrow();
+        office.lease.want(roll::is_due(domain, &control.models, &control.fleet));
     }
     // Orders may be given only if a call started now ends within the lease.
     if office.lease.fence(shared, CALL).is_none() {
         return;
     }
     let orders = {
-        let world = &mut *shared.world.borrow_mut();
-        world.models.steps = steps(world);
+        let control = &mut *shared.control.borrow_mut();
+        control.models.steps = steps(control);
         let mut roll = office.roll.borrow_mut();
-        roll.step(now, domain, &world.models, &world.fleet, &world.sights)
+        roll.step(now, domain, &control.models, &control.fleet, &control.observations)
     };
     for order in orders {
         tokio::task::spawn_local(carry_out(shared.clone(), office.clone(), order));
@@ -105,11 +105,11 @@
 }
 
 /// The steps that are open, by model.
-fn steps(world: &World) -> BTreeMap<String, Vec<Step>> {
+fn steps(control: &Control) -> BTreeMap<String, Vec<Step>> {
     let mut steps: BTreeMap<String, Vec<Step>> = BTreeMap::new();
-    let jobs = world.shelves.iter().flat_map(|shelf| &shelf.book.jobs);
+    let jobs = control.partitions.iter().flat_map(|partition| &partition.index.jobs);
     for (id, job) in jobs {
-        if job.ended || job.is_whole() || world.ending.holds(id) {
+        if job.ended || job.is_whole() || control.ending.holds(id) {
             continue;
         }
         let samples = (job.done.len() - job.listed.len()) as u64;
@@ -174,15 +174,15 @@
 }
 
 fn note(shared: &Shared, order: &Order, report: &crate::entry::dialect::Report) {
-    let world = &mut *shared.world.borrow_mut();
-    if world.fleet.started(&order.target, report.born)
-        && let Some(address) = world.fleet.targets.get(&order.target).map(|t| t.said.address)
+    let control = &mut *shared.control.borrow_mut();
+    if control.fleet.started(&order.target, report.born)
+        && let Some(address) = control.fleet.targets.get(&order.target).map(|t| t.said.address)
     {
-        shared.restarted(world, &order.target, address);
+        shared.restarted(control, &order.target, address);
     }
-    let born = world.fleet.targets.get(&order.target).and_then(|target| target.said.born);
+    let born = control.fleet.targets.get(&order.target).and_then(|target| target.said.born);
     for (model, version) in &report.versions {
-        world.fleet.answered(&order.target, born, model, *version);
+        control.fleet.answered(&order.target, born, model, *version);
     }
 }
 
@@ -209,8 +209,8 @@
     body: Bytes,
 ) -> Option<(http::StatusCode, Bytes)> {
     let address = {
-        let world = shared.world.borrow();
-        world.fleet.targets.get(target).map(|target| target.said.address)
+        let control = shared.control.borrow();
+        control.fleet.targets.get(target).map(|target| target.said.address)
     }?;
     let request = Request::builder()
         .method(method)
--- a/crates/hollywell/src/entry/outbox.rs
+++ b/crates/hollywell/src/entry/outbox.rs
@@ -24,7 +24,7 @@
     entry::{
         run::Text,
         shared::{JOBS, Shared, TEXTS},
-        store::{Append, Fault, Part},
+        store::{Append, Partition, StoreError},
     },
 };
 
@@ -64,9 +64,9 @@
 pub fn deliver(shared: &Rc<Shared>, slot: &Slot, dead: bool) {
     let part = shared.part_of(&slot.job);
     {
-        let mut world = shared.world.borrow_mut();
-        let text = world.texts.remove(slot).unwrap_or_default();
-        let Some(job) = world.shelves[part].book.jobs.get(&slot.job) else {
+        let mut control = shared.control.borrow_mut();
+        let text = control.partial_texts.remove(slot).unwrap_or_default();
+        let Some(job) = control.partitions[part].index.jobs.get(&slot.job) else {
             return;
         };
         let id = job.head.samples[slot.at].id.clone();
@@ -96,12 +96,16 @@
         if let Err(fault) = appended {
             log::info!("{} results kept for another append: {fault}", taken.len());
             put_back(&shared.outbox[part], taken);
-            sleep(if fault == Fault::Full { FULL_PAUSE } else { APPEND_PAUSE }).await;
+            sleep(if fault == StoreError::Full { FULL_PAUSE } else { APPEND_PAUSE }).await;
         }
     }
 }
 
-async fn append_texts(shared: &Rc<Shared>, part: usize, taken: &mut [Entry]) -> Result<(), Fault> {
+async fn append_texts(
+    shared: &Rc<Shared>,
+    part: usize,
+    taken: &mut [Entry],
+) -> Result<(), StoreError> {
     let mut waiting: Vec<&mut Entry> =
         taken.iter_mut().filter(|entry| entry.text.is_some()).collect();
     if waiting.is_empty() {
@@ -113,24 +117,28 @@
     };
     let keyed: Vec<(String, Bytes)> = waiting.iter().map(record).collect();
     let records = keyed.iter().map(|(key, text)| (Some(key.clone()), text.clone())).collect();
-    let (at, purpose) = (Part::at(TEXTS, part), Use::Text);
+    let (at, purpose) = (Partition::at(TEXTS, part), Use::Text);
     let append = Append { part: at, records, expected_end: None, purpose };
     let appended = shared.append(append).await;
-    if matches!(appended, Err(Fault::Unknown(_))) {
+    if matches!(appended, Err(StoreError::OutcomeUnknown(_))) {
         let keys = keyed.iter().map(|(key, _)| key.clone());
         shared.orphans.texts(shared.now(), part, keys);
     }
     let first = appended?.offset;
     for ((entry, (key, text)), offset) in waiting.iter_mut().zip(keyed).zip(first..) {
         let at = TextRef::new(number(part), offset, key, &text);
-        shared.texts.keep(&at, text);
+        shared.text_cache.keep(&at, text);
         entry.outcome.text = Some(at);
         entry.text = None;
     }
     Ok(())
 }
 
-async fn append_results(shared: &Rc<Shared>, part: usize, taken: &[Entry]) -> Result<(), Fault> {
+async fn append_results(
+    shared: &Rc<Shared>,
+    part: usize,
+    taken: &[Entry],
+) -> Result<(), StoreError> {
     let mut records = Vec::new();
     for Entry { slot, outcome, .. } in taken {
         // A key of its own for each append: if one key were appended twice,
@@ -139,7 +147,7 @@
         let (key, value) = batch::outcome_record(&slot.job, &shared.unique(), outcome);
         records.push((Some(key), value));
     }
-    let (at, purpose) = (Part::at(JOBS, part), Use::Outcome);
+    let (at, purpose) = (Partition::at(JOBS, part), Use::Outcome);
     let append = Append { part: at, records, expected_end: None, purpose };
     let appended = shared.append(append).await?;
     for (Entry { slot, outcome, .. }, offset) in taken.iter().zip(appended.offset..) {
@@ -158,12 +166,12 @@
 
 /// The next results to append, without those that are listed meanwhile.
 fn take(shared: &Shared, part: usize) -> Vec<Entry> {
-    let world = shared.world.borrow();
+    let control = shared.control.borrow();
     let mut queue = shared.outbox[part].queue.borrow_mut();
     let mut taken = Vec::new();
     let mut bytes = 0;
     while let Some(entry) = queue.front() {
-        let job = world.shelves[part].book.jobs.get(&entry.slot.job);
+        let job = control.partitions[part].index.jobs.get(&entry.slot.job);
         if job.is_none_or(|job| job.done[entry.slot.at]) {
             queue.pop_front();
             continue;
@@ -205,9 +213,9 @@
                 continue;
             }
         };
-        let mut world = shared.world.borrow_mut();
+        let mut control = shared.control.borrow_mut();
         for (grown, kept) in grown.into_iter().zip(saved) {
-            let text = world.texts.get_mut(&grown.slot);
+            let text = control.partial_texts.get_mut(&grown.slot);
             // A text that was begun anew meanwhile has other data, and one
             // that was kept meanwhile, as a stopping instance does beside the
             // regular saves, goes on from there.
@@ -229,16 +237,16 @@
     shared: &Rc<Shared>,
     part: usize,
     grown: &[Grown],
-) -> Result<Vec<Vec<TextRef>>, Fault> {
+) -> Result<Vec<Vec<TextRef>>, StoreError> {
     let key =
         |grown: &Grown| batch::partial_text_key(&grown.slot.job, &shared.unique(), &grown.sample);
     let keys: Vec<String> = grown.iter().map(key).collect();
     let records = keys.iter().zip(grown);
     let records = records.map(|(key, grown)| (Some(key.clone()), grown.piece.clone())).collect();
-    let (at, purpose) = (Part::at(TEXTS, part), Use::Unfinished);
+    let (at, purpose) = (Partition::at(TEXTS, part), Use::Unfinished);
     let append = Append { part: at, records, expected_end: None, purpose };
     let appended = shared.append(append).await;
-    if matches!(appended, Err(Fault::Unknown(_))) {
+    if matches!(appended, Err(StoreError::OutcomeUnknown(_))) {
         shared.orphans.texts(shared.now(), part, keys.clone());
     }
     let first = appended?.offset;
@@ -253,26 +261,26 @@
         records.push((Some(key), value));
         kept.push(partial.texts);
     }
-    let at = Part::at(JOBS, part);
+    let at = Partition::at(JOBS, part);
     let append = Append { part: at, records, expected_end: None, purpose };
     let noted = shared.append(append).await;
-    if noted.as_ref().is_err_and(Fault::is_not_done) {
+    if noted.as_ref().is_err_and(StoreError::is_not_applied) {
         shared.orphans.texts(shared.now(), part, keys);
     }
     noted.map(|_| kept)
 }
 
 fn grown(shared: &Shared, part: usize, least: u64) -> Vec<Grown> {
-    let world = shared.world.borrow();
+    let control = shared.control.borrow();
     let store = &shared.settings.store;
     let mut grown = Vec::new();
     let mut bytes = 0;
-    for (slot, text) in &world.texts {
+    for (slot, text) in &control.partial_texts {
         if shared.part_of(&slot.job) != part || text.last < text.saved + least {
             continue;
         }
-        let job = world.shelves[part].book.jobs.get(&slot.job);
-        let Some(job) = job.filter(|_| world.wants(part, slot)) else {
+        let job = control.partitions[part].index.jobs.get(&slot.job);
+        let Some(job) = job.filter(|_| control.wants(part, slot)) else {
             continue;
         };
         let piece = &text.data.as_bytes()[text.kept_bytes..];
--- a/crates/hollywell/src/entry/plans.rs
+++ b/crates/hollywell/src/entry/plans.rs
@@ -57,19 +57,19 @@
 
 /// Puts a configuration in force, if it is newer.
 pub(super) fn take(shared: &Shared, plan: Plan, from: &str) {
-    let mut world = shared.world.borrow_mut();
-    let before = world.plan.as_ref().map_or(0, |plan| plan.version);
+    let mut control = shared.control.borrow_mut();
+    let before = control.configuration.as_ref().map_or(0, |plan| plan.version);
     if plan.version > before {
         log::info!("configuration {} in force, was {before}, from {from}", plan.version);
-        world.fleet.configure(plan.pools.iter().map(|pool| pool.name.as_str()));
-        world.plan = Some(Rc::new(plan));
+        control.fleet.configure(plan.pools.iter().map(|pool| pool.name.as_str()));
+        control.configuration = Some(Rc::new(plan));
     }
 }
 
 /// Takes over which weights of a model are the newest.
 pub(super) fn named(shared: &Shared, model: &str, version: u64) {
-    let mut world = shared.world.borrow_mut();
-    let named = world.models.named.entry(model.to_owned()).or_insert(0);
+    let mut control = shared.control.borrow_mut();
+    let named = control.models.named.entry(model.to_owned()).or_insert(0);
     if *named < version {
         *named = version;
         log::info!("model {model} is named version {version}");
@@ -78,7 +78,7 @@
 
 /// Takes over whether a failure domain is evacuated.
 pub(super) fn evacuate(shared: &Shared, domain: &str, is_on: bool) {
-    if !shared.world.borrow_mut().fleet.evacuate(domain, is_on) {
+    if !shared.control.borrow_mut().fleet.evacuate(domain, is_on) {
         return;
     }
     let change = if is_on { "gets nothing new from now on" } else { "takes work again" };
@@ -91,7 +91,7 @@
 /// Takes over which failure domains are evacuated; all others are not, but
 /// for those of which `keep` says that nothing is known.
 pub(super) fn evacuate_only(shared: &Shared, on: &BTreeSet<String>, keep: impl Fn(&str) -> bool) {
-    let before = shared.world.borrow().fleet.evacuated().clone();
+    let before = shared.control.borrow().fleet.evacuated().clone();
     let over = before.difference(on).filter(|domain| !keep(domain));
     over.for_each(|domain| evacuate(shared, domain, false));
     on.iter().for_each(|domain| evacuate(shared, domain, true));
@@ -99,15 +99,15 @@
 
 /// Notes that the operator's topic, as it was at an instant, is known.
 pub(super) fn current(shared: &Shared, at: Time) {
-    let mut world = shared.world.borrow_mut();
-    world.plan_at = world.plan_at.max(Some(at));
+    let mut control = shared.control.borrow_mut();
+    control.configuration_read_at = control.configuration_read_at.max(Some(at));
     shared.configured.notify_waiters();
 }
 
 /// How old what is known of the configuration is, in milliseconds.
 #[must_use]
 pub fn age_ms(shared: &Shared) -> Option<u64> {
-    let at = shared.world.borrow().plan_at?;
+    let at = shared.control.borrow().configuration_read_at?;
     Some(shared.now().since(at))
 }
 
@@ -139,12 +139,13 @@
             word.named.iter().for_each(|(model, version)| named(&shared, model, *version));
             let known_at = Time(asked_at.0.saturating_sub(word.age_ms));
             if let Some(evacuated) = word.evacuated
-                && shared.world.borrow().plan_at < Some(known_at)
+                && shared.control.borrow().configuration_read_at < Some(known_at)
             {
                 evacuate_only(&shared, &evacuated, |_| false);
             }
             // What the peer knew is of use for as far as it was taken over.
-            let version = shared.world.borrow().plan.as_ref().map_or(0, |plan| plan.version);
+            let version =
+                shared.control.borrow().configuration.as_ref().map_or(0, |plan| plan.version);
             if version >= word.version {
                 current(&shared, known_at);
             }
@@ -155,7 +156,7 @@
 }
 
 async fn word(shared: &Shared, peer: &str) -> Result<Word, String> {
-    let have = shared.world.borrow().plan.as_ref().map_or(0, |plan| plan.version);
+    let have = shared.control.borrow().configuration.as_ref().map_or(0, |plan| plan.version);
     let answer = peers::get(shared, peer, &format!("{PATH}{have}"), ANSWER).await?;
     let status = answer.head.status;
     let body = answer.whole(ANSWER_BYTES, ANSWER).await.map_err(|error| error.to_string())?;
@@ -171,11 +172,11 @@
     let Some(age_ms) = age_ms(shared) else {
         return peers::nothing(StatusCode::SERVICE_UNAVAILABLE);
     };
-    let world = shared.world.borrow();
-    let version = world.plan.as_ref().map_or(0, |plan| plan.version);
-    let plan = world.plan.as_deref().filter(|plan| plan.version > have).cloned();
-    let evacuated = Some(world.fleet.evacuated().clone());
-    let word = Word { age_ms, version, plan, named: world.models.named.clone(), evacuated };
+    let control = shared.control.borrow();
+    let version = control.configuration.as_ref().map_or(0, |plan| plan.version);
+    let plan = control.configuration.as_deref().filter(|plan| plan.version > have).cloned();
+    let evacuated = Some(control.fleet.evacuated().clone());
+    let word = Word { age_ms, version, plan, named: control.models.named.clone(), evacuated };
     match serde_json::to_vec(&word) {
         Ok(bytes) => Response::new(Full::new(bytes.into())),
         Err(error) => {
--- a/crates/hollywell/src/entry/reader.rs
+++ b/crates/hollywell/src/entry/reader.rs
@@ -18,7 +18,7 @@
         group::Listing,
         patience::{self, Patience},
     },
-    entry::store::{Client, Fault, Limited, Newest, Page, Part, Read, Records},
+    entry::store::{Client, Newest, Page, Partition, Read, Records, StoreError, WithIdleTimeout},
 };
 
 /// Pages of newest records that an instance asks for at a time. Each is up
@@ -67,19 +67,21 @@
     ///
     /// # Errors
     ///
-    /// The store's [`Fault`].
-    pub async fn read(&self, read: Read) -> Result<Records, Fault> {
+    /// The store's [`StoreError`].
+    pub async fn read(&self, read: Read) -> Result<Records, StoreError> {
         let wait = read.wait;
-        self.limited(wait, |silence| (self.store.read)(Limited { read, silence })).await
+        self.limited(wait, |idle_timeout| (self.store.read)(WithIdleTimeout { read, idle_timeout }))
+            .await
     }
 
     /// Reads the members of a group that hold a partition.
     ///
     /// # Errors
     ///
-    /// The store's [`Fault`].
-    pub async fn members(&self, group: String) -> Result<Listing, Fault> {
-        let members = |silence| (self.store.members)(Limited { read: group, silence });
+    /// The store's [`StoreError`].
+    pub async fn members(&self, group: String) -> Result<Listing, StoreError> {
+        let members =
+            |idle_timeout| (self.store.members)(WithIdleTimeout { read: group, idle_timeout });
         self.limited(Duration::ZERO, members).await
     }
 
@@ -87,11 +89,15 @@
     ///
     /// # Errors
     ///
-    /// The store's [`Fault`].
-    pub async fn newest(&self, part: &Part, after: Option<String>) -> Result<Page, Fault> {
+    /// The store's [`StoreError`].
+    pub async fn newest(
+        &self,
+        part: &Partition,
+        after: Option<String>,
+    ) -> Result<Page, StoreError> {
         let _turn = self.pages.acquire().await.ok();
         let read = (part.clone(), after);
-        let page = |silence| (self.store.newest)(Limited { read, silence });
+        let page = |idle_timeout| (self.store.newest)(WithIdleTimeout { read, idle_timeout });
         self.limited(Duration::ZERO, page).await
     }
 
@@ -102,8 +108,12 @@
     ///
     /// # Errors
     ///
-    /// A page's [`Fault`]; what was read so far stays in `newest`.
-    pub async fn newest_on(&self, part: &Part, newest: &mut Newest) -> Result<(), Fault> {
+    /// A page's [`StoreError`]; what was read so far stays in `newest`.
+    pub async fn resume_newest(
+        &self,
+        part: &Partition,
+        newest: &mut Newest,
+    ) -> Result<(), StoreError> {
         while !newest.is_done() {
             let page = self.newest(part, newest.after().cloned()).await?;
             newest.take(page);
@@ -123,8 +133,8 @@
     async fn limited<T>(
         &self,
         wait: Duration,
-        call: impl FnOnce(Duration) -> crate::entry::store::LocalFuture<Result<T, Fault>>,
-    ) -> Result<T, Fault> {
+        call: impl FnOnce(Duration) -> crate::entry::store::LocalFuture<Result<T, StoreError>>,
+    ) -> Result<T, StoreError> {
         let limit_ms = self.patience.borrow().limit_ms();
         let started = Instant::now();
         let answer = call(Duration::from_millis(limit_ms)).await;
@@ -137,7 +147,7 @@
                 let beyond = took.saturating_sub(wait).as_millis();
                 patience.answered(u64::try_from(beyond).unwrap_or(u64::MAX));
             }
-            Err(Fault::Silent) if !self.away.get() => patience.silent(limit_ms),
+            Err(StoreError::TimedOut) if !self.away.get() => patience.silent(limit_ms),
             _ => {}
         }
         answer
--- a/crates/hollywell/src/entry/relay.rs
+++ b/crates/hollywell/src/entry/relay.rs
@@ -17,7 +17,7 @@
     entry::{
         peers,
         shared::{JOBS, Shared},
-        store::{Part, Records},
+        store::{Partition, Records},
     },
 };
 
@@ -112,7 +112,7 @@
 /// What was read lately and is handed on.
 #[derive(Default)]
 pub struct Relay {
-    kept: RefCell<HashMap<Part, Kept>>,
+    kept: RefCell<HashMap<Partition, Kept>>,
     changed: Notify,
 }
 
@@ -128,7 +128,7 @@
         self.kept.borrow_mut().retain(|_, kept| kept.age_ms(now) < KEEP_MS);
     }
 
-    fn get(&self, now: Time, part: &Part) -> Option<(Bytes, u64)> {
+    fn get(&self, now: Time, part: &Partition) -> Option<(Bytes, u64)> {
         let kept = self.kept.borrow();
         let kept = kept.get(part)?;
         let age_ms = kept.age_ms(now);
@@ -138,8 +138,8 @@
 
 /// Keeps a partition's newest records, so old by now, for others of the
 /// failure domain.
-pub fn keep(shared: &Shared, part: &Part, read: &Records, age_ms: u64) {
-    if relay::is_used(shared.world.borrow().roster.members(), &shared.me) {
+pub fn keep(shared: &Shared, part: &Partition, read: &Records, age_ms: u64) {
+    if relay::is_used(shared.control.borrow().roster.members(), &shared.me) {
         let body = Bytes::from(Snapshot::new(read).encode_to_vec());
         let kept = Kept { body, age_ms, kept_at: shared.now() };
         shared.relay.kept.borrow_mut().insert(part.clone(), kept);
@@ -150,18 +150,18 @@
 /// The newest records of a partition from another instance, and how long ago
 /// they were read from the store, in milliseconds; `None` if this one is to
 /// read the store.
-pub async fn ask(shared: &Rc<Shared>, part: &Part) -> Option<(Records, u64)> {
+pub async fn ask(shared: &Rc<Shared>, part: &Partition) -> Option<(Records, u64)> {
     know_members(shared).await;
     let depth = {
-        let world = shared.world.borrow();
-        relay::depth(world.roster.members(), &shared.me)
+        let control = shared.control.borrow();
+        relay::depth(control.roster.members(), &shared.me)
     };
     let until = Instant::now() + PATIENCE * depth;
     while Instant::now() < until {
         // Asked each time: the members may be another's by now.
         let parent = {
-            let world = shared.world.borrow();
-            relay::parent(world.roster.members(), &shared.me).map(str::to_owned)
+            let control = shared.control.borrow();
+            relay::parent(control.roster.members(), &shared.me).map(str::to_owned)
         }?;
         match ask_once(shared, part, &parent).await {
             Ok(Some((records, age_ms))) => {
@@ -189,8 +189,8 @@
     let started = Instant::now();
     loop {
         let (is_settled, is_known) = {
-            let world = shared.world.borrow();
-            (world.census.is_settled(), !world.roster.members().is_empty())
+            let control = shared.control.borrow();
+            (control.census.is_settled(), !control.roster.members().is_empty())
         };
         let most = if is_known { SETTLED } else { MEMBERS };
         if is_settled || started.elapsed() >= most {
@@ -203,7 +203,7 @@
 /// Asks once; `None` if the other instance is still reading itself.
 async fn ask_once(
     shared: &Rc<Shared>,
-    part: &Part,
+    part: &Partition,
     parent: &str,
 ) -> Result<Option<(Records, u64)>, String> {
     let path = format!("{PATH}{}/{}", part.topic, part.number);
@@ -250,23 +250,23 @@
 /// Whether a partition's newest records are taken from other instances: what
 /// is large at a start.
 #[must_use]
-pub fn is_relayed(shared: &Shared, part: &Part) -> bool {
+pub fn is_relayed(shared: &Shared, part: &Partition) -> bool {
     part.topic == JOBS || part.topic == shared.dialect.announcements
 }
 
 /// Whether a relayed partition was read from its beginning.
-fn is_read(shared: &Shared, part: &Part) -> bool {
-    let world = shared.world.borrow();
+fn is_read(shared: &Shared, part: &Partition) -> bool {
+    let control = shared.control.borrow();
     match part.topic == JOBS {
-        true => world.shelves[part.number as usize].loaded,
-        false => world.fleet_known,
+        true => control.partitions[part.number as usize].loaded,
+        false => control.fleet_loaded,
     }
 }
 
 /// The relayed partition that a path names.
-fn named(shared: &Shared, path: &str) -> Option<Part> {
+fn named(shared: &Shared, path: &str) -> Option<Partition> {
     let (topic, number) = path.strip_prefix(PATH)?.rsplit_once('/')?;
-    let part = Part::new(topic, number.parse().ok()?);
+    let part = Partition::new(topic, number.parse().ok()?);
     let parts = if topic == JOBS { shared.listed.len() } else { 1 };
     (is_relayed(shared, &part) && (part.number as usize) < parts).then_some(part)
 }
--- a/crates/hollywell/src/entry/room.rs
+++ b/crates/hollywell/src/entry/room.rs
@@ -15,7 +15,7 @@
     entry::{
         news::{self, News},
         shared::{JOBS, Shared, TEXTS, wall_ms},
-        store::{Part, Read},
+        store::{Partition, Read},
     },
 };
 
@@ -50,8 +50,8 @@
 
 /// Bytes of text for each token, as far as they were seen.
 fn bytes_a_token(shared: &Shared) -> f64 {
-    let world = shared.world.borrow();
-    let jobs = world.shelves.iter().flat_map(|shelf| shelf.book.jobs.values());
+    let control = shared.control.borrow();
+    let jobs = control.partitions.iter().flat_map(|partition| partition.index.jobs.values());
     let (tokens, bytes) =
         jobs.map(Job::sizes).fold((0, 0), |sum, sizes| (sum.0 + sizes.0, sum.1 + sizes.1));
     if tokens == 0 { BYTES_A_TOKEN } else { bytes as f64 / tokens as f64 }
@@ -63,34 +63,35 @@
     let ratio = bytes_a_token(shared);
     let now = shared.now();
     let life_ms = u64::try_from(shared.settings.store.retention.as_millis()).unwrap_or(u64::MAX);
-    let world = &mut *shared.world.borrow_mut();
-    let own = world.shelves.iter_mut().flat_map(|shelf| &mut shelf.logs);
-    for log in own.chain(world.others.values_mut()) {
+    let control = &mut *shared.control.borrow_mut();
+    let own = control.partitions.iter_mut().flat_map(|partition| &mut partition.logs);
+    for log in own.chain(control.other_logs.values_mut()) {
         log.expire(now, life_ms);
     }
-    let others: u64 = world.others.values().map(|log| log.bytes(0)).sum();
-    let jobs = || world.shelves.iter().flat_map(|shelf| shelf.book.jobs.values());
+    let others: u64 = control.other_logs.values().map(|log| log.bytes(0)).sum();
+    let jobs = || control.partitions.iter().flat_map(|partition| partition.index.jobs.values());
     let live = jobs().map(Job::bytes).sum();
     let tokens: u64 = jobs().map(Job::tokens_to_come).sum();
     let samples = jobs().filter(|job| !job.ended).map(|job| job.done.len() - job.listed.len());
     let outcomes = samples.sum::<usize>() as u64 * OUTCOME_BYTES;
-    let most = world.room.log_most(2 * world.shelves.len());
-    let own = world.shelves.iter().flat_map(|shelf| &shelf.logs).map(|log| log.bytes(most));
+    let most = control.capacity.log_most(2 * control.partitions.len());
+    let own =
+        control.partitions.iter().flat_map(|partition| &partition.logs).map(|log| log.bytes(most));
     let logs = own.sum::<u64>() + others;
-    world.room.seen(now, live, logs, (tokens as f64 * ratio) as u64 + outcomes);
-    shared.meters.used.set(i64::try_from(world.room.used()).unwrap_or(i64::MAX));
+    control.capacity.seen(now, live, logs, (tokens as f64 * ratio) as u64 + outcomes);
+    shared.meters.used.set(i64::try_from(control.capacity.used()).unwrap_or(i64::MAX));
     ratio
 }
 
 /// One line each time that jobs begin or cease to be rejected for room.
 fn tell(shared: &Shared, tight: &mut bool) {
     let now = shared.now();
-    let world = shared.world.borrow();
-    let allowed = world.room.allows(now, Use::Head, 0);
+    let control = shared.control.borrow();
+    let allowed = control.capacity.allows(now, Use::Head, 0);
     if *tight == allowed {
         *tight = !allowed;
-        let (used, room) = (world.room.used(), world.room.room());
-        let full = world.room.is_full(now);
+        let (used, room) = (control.capacity.used(), control.capacity.room());
+        let full = control.capacity.is_full(now);
         if allowed {
             log::info!("store has room again: {used} of {room} bytes known to be used");
         } else {
@@ -114,15 +115,15 @@
         bytes += (f64::from(sample.tokens_hint) * ratio) as u64;
     }
     let next_drop_ms = next_drop_ms(shared);
-    shared.world.borrow().room.admit(shared.now(), bytes, next_drop_ms)
+    shared.control.borrow().capacity.admit(shared.now(), bytes, next_drop_ms)
 }
 
 /// In how many milliseconds the records of a job will be dropped next.
 fn next_drop_ms(shared: &Shared) -> Option<u64> {
     let kept_ms = shared.settings.times.status_ms().saturating_add(CLOCKS_APART_MS);
     let now_ms = wall_ms();
-    let world = shared.world.borrow();
-    let jobs = world.shelves.iter().flat_map(|shelf| shelf.book.jobs.values());
+    let control = shared.control.borrow();
+    let jobs = control.partitions.iter().flat_map(|partition| partition.index.jobs.values());
     let left = |at_ms: u64| kept_ms.saturating_sub(now_ms.saturating_sub(at_ms));
     jobs.filter(|job| job.ended).map(|job| left(job.head.at_ms)).min()
 }
@@ -137,7 +138,7 @@
             continue;
         };
         let before = if full && topic == TEXTS { end(shared, part, before).await } else { before };
-        match (shared.store.trim)((Part::at(topic, part), before)).await {
+        match (shared.store.trim)((Partition::at(topic, part), before)).await {
             Ok(()) => {
                 log::info!("{topic}/{part} trimmed before {before}");
                 trimmed(shared, part, at, before);
@@ -152,14 +153,14 @@
 /// all, and whether that is since the store is full.
 fn due(shared: &Shared, part: usize, at: usize) -> Option<(u64, bool)> {
     let now = shared.now();
-    let world = shared.world.borrow();
-    let members = world.roster.members();
-    let most = world.room.log_most(2 * world.shelves.len());
-    let full = world.room.is_full(now);
+    let control = shared.control.borrow();
+    let members = control.roster.members();
+    let most = control.capacity.log_most(2 * control.partitions.len());
+    let full = control.capacity.is_full(now);
     // Jobs have followers, which would have to begin anew; texts are found by
     // their keys as well.
     let young_ms = if at == 0 { room::LEAST_MS } else { FULL_TEXTS_MS };
-    let log = &world.shelves[part].logs[at];
+    let log = &control.partitions[part].logs[at];
     let mine = owner(members, &format!("trim {part}"), "") == Some(shared.me.as_str());
     let late = log.bytes(0) > most + most / 2;
     let lucky = (full || late) && rand::random_bool((HELPERS / members.len() as f64).min(1.0));
@@ -169,9 +170,9 @@
 
 /// Notes that a log was trimmed, by whomever.
 pub fn trimmed(shared: &Shared, part: usize, at: usize, before: u64) {
-    let mut world = shared.world.borrow_mut();
-    if let Some(shelf) = world.shelves.get_mut(part) {
-        shelf.logs[at].trimmed(before);
+    let mut control = shared.control.borrow_mut();
+    if let Some(partition) = control.partitions.get_mut(part) {
+        partition.logs[at].trimmed(before);
     }
 }
 
@@ -180,8 +181,12 @@
 /// While the store is full nothing is added there, and whoever still wants one
 /// of the texts finds it by its key.
 async fn end(shared: &Rc<Shared>, part: usize, known: u64) -> u64 {
-    let read =
-        Read { part: Part::at(TEXTS, part), from: known, wait: Duration::ZERO, most_kb: Some(1) };
+    let read = Read {
+        part: Partition::at(TEXTS, part),
+        from: known,
+        wait: Duration::ZERO,
+        max_kb: Some(1),
+    };
     match shared.reader.read(read).await {
         Ok(records) => records.end.max(known),
         Err(fault) => {
--- a/crates/hollywell/src/entry/run.rs
+++ b/crates/hollywell/src/entry/run.rs
@@ -66,8 +66,8 @@
 /// Starts a run as a task of its own.
 pub fn start(shared: &Rc<Shared>, run: Run, slot: Slot, target: &str, priority: u8) {
     let said = {
-        let world = shared.world.borrow();
-        world.fleet.targets.get(target).map(|target| target.said.clone())
+        let control = shared.control.borrow();
+        control.fleet.targets.get(target).map(|target| target.said.clone())
     };
     let Some(said) = said else {
         let shared = shared.clone();
@@ -80,15 +80,16 @@
         let shared = shared.clone();
         async move {
             let end = go(&shared, run, &slot, &said, priority).await;
-            let events = || shared.world.borrow().texts.get(&slot).map_or(0, |text| text.last);
+            let events =
+                || shared.control.borrow().partial_texts.get(&slot).map_or(0, |text| text.last);
             let (job, at, id) = (&slot.job, slot.at, &said.id);
             log::debug!("sample {job}/{at} at {id}: {end:?}, {} events", events());
             shared.meters.runs.with_label_values(&[&format!("{end:?}")]).inc();
-            shared.world.borrow_mut().runs.remove(&run);
+            shared.control.borrow_mut().runs.remove(&run);
             shared.tell(&Event::Ended { run, end });
         }
     });
-    shared.world.borrow_mut().runs.insert(run, task.abort_handle());
+    shared.control.borrow_mut().runs.insert(run, task.abort_handle());
 }
 
 /// Takes over the text that another instance, or an earlier run of this one,
@@ -111,8 +112,8 @@
         log::error!("unfinished text of {}/{} is not UTF-8", slot.job, slot.at);
         return;
     };
-    let mut world = shared.world.borrow_mut();
-    let known = world.texts.get(slot).map_or(0, |text| text.last);
+    let mut control = shared.control.borrow_mut();
+    let known = control.partial_texts.get(slot).map_or(0, |text| text.last);
     if partial.last > known {
         // What an earlier job kept goes with that job, and is kept anew.
         let own = partial.is_of(&slot.job);
@@ -126,16 +127,16 @@
             data,
             identity: Rc::default(),
         };
-        world.texts.insert(slot.clone(), text);
+        control.partial_texts.insert(slot.clone(), text);
     }
 }
 
 /// What the store keeps of a sample's text, if that is of use here.
 fn kept(shared: &Shared, part: usize, slot: &Slot) -> Option<Partial> {
-    let world = shared.world.borrow();
-    let job = world.shelves[part].book.jobs.get(&slot.job)?;
+    let control = shared.control.borrow();
+    let job = control.partitions[part].index.jobs.get(&slot.job)?;
     let partial = job.partials.get(&slot.at)?;
-    let known = world.texts.get(slot).map_or(0, |text| text.last);
+    let known = control.partial_texts.get(slot).map_or(0, |text| text.last);
     let allowed = partial.is_allowed(job.head.min_version);
     (partial.last > known && allowed).then(|| partial.clone())
 }
@@ -165,7 +166,7 @@
         shared.meters.held.inc();
         return End::Held;
     }
-    let last_event = || shared.world.borrow().texts.get(slot).map_or(0, |text| text.last);
+    let last_event = || shared.control.borrow().partial_texts.get(slot).map_or(0, |text| text.last);
     let before = last_event();
     let end = exchange(shared, run, slot, target, digest, request).await;
     // A sample that has got further is none that ends its targets.
@@ -178,8 +179,8 @@
 
 /// What a sample has in common with the same sample of another job.
 fn digest(shared: &Shared, slot: &Slot, sample: &Sample) -> Digest {
-    let world = shared.world.borrow();
-    let job = world.shelves[shared.part_of(&slot.job)].book.jobs.get(&slot.job);
+    let control = shared.control.borrow();
+    let job = control.partitions[shared.part_of(&slot.job)].index.jobs.get(&slot.job);
     let (host, organisation) = job.map_or(("", ""), |job| (&job.head.host, &job.head.organisation));
     Digest::of(&["POST", host, &sample.path, organisation], &sample.body)
 }
@@ -206,7 +207,7 @@
     let headers = &shared.dialect.headers;
     if let Some(load) = answer.header(&headers.load).and_then(shared.dialect.load) {
         let now = shared.now();
-        shared.world.borrow_mut().sights.load(now, &target.id, load);
+        shared.control.borrow_mut().observations.load(now, &target.id, load);
     }
     match answer.head.status {
         StatusCode::OK => stream(shared, run, slot, target, digest, answer).await,
@@ -228,8 +229,8 @@
     target: &Announcement,
     priority: u8,
 ) -> Option<Request<Full<Bytes>>> {
-    let world = shared.world.borrow();
-    let job = world.shelves[shared.part_of(&slot.job)].book.jobs.get(&slot.job)?;
+    let control = shared.control.borrow();
+    let job = control.partitions[shared.part_of(&slot.job)].index.jobs.get(&slot.job)?;
     let headers = &shared.dialect.headers;
     let mut request = Request::post(sample.path.as_str())
         .header(http::header::HOST, job.head.host.as_str())
@@ -242,7 +243,7 @@
     for header in &sample.headers {
         request = request.header(header.name.as_str(), header.value.as_str());
     }
-    let last = world.texts.get(slot).map_or(0, |text| text.last);
+    let last = control.partial_texts.get(slot).map_or(0, |text| text.last);
     if last > 0 {
         request = request.header(&headers.last_event, HeaderValue::from(last));
     }
@@ -273,7 +274,7 @@
     /// Notes that the target has a version of the model.
     fn saw(&self, version: u64) {
         let Announcement { id, born, .. } = self.target;
-        self.shared.world.borrow_mut().fleet.answered(id, *born, &self.model, version);
+        self.shared.control.borrow_mut().fleet.answered(id, *born, &self.model, version);
     }
 
     /// Takes one whole event into the sample's text. `version` is the one
@@ -292,8 +293,8 @@
             return Err(End::WrongVersion);
         }
         {
-            let mut world = self.shared.world.borrow_mut();
-            let text = world.texts.entry(self.slot.clone()).or_default();
+            let mut control = self.shared.control.borrow_mut();
+            let text = control.partial_texts.entry(self.slot.clone()).or_default();
             if piece.id != text.last + 1 {
                 return Err(self.broken(&format!("event {} after {}", piece.id, text.last)));
             }
@@ -314,8 +315,9 @@
     answer: Answer,
 ) -> End {
     let context = {
-        let world = shared.world.borrow();
-        let Some(job) = world.shelves[shared.part_of(&slot.job)].book.jobs.get(&slot.job) else {
+        let control = shared.control.borrow();
+        let Some(job) = control.partitions[shared.part_of(&slot.job)].index.jobs.get(&slot.job)
+        else {
             return End::Broken;
         };
         let (model, min_version) = (job.head.model.clone(), job.head.min_version);
@@ -354,8 +356,8 @@
     if !cutter.is_empty() {
         return Err(context.broken(&"ends within an event"));
     }
-    let world = context.shared.world.borrow();
-    match world.texts.contains_key(context.slot) {
+    let control = context.shared.control.borrow();
+    match control.partial_texts.contains_key(context.slot) {
         true => Ok(()),
         false => Err(context.broken(&"ends without any event")),
     }
--- a/crates/hollywell/src/entry/samples.rs
+++ b/crates/hollywell/src/entry/samples.rs
@@ -15,7 +15,7 @@
     },
     entry::{
         shared::{Shared, TEXTS},
-        store::{Append, Fault, Part},
+        store::{Append, Partition, StoreError},
         texts,
     },
 };
@@ -29,11 +29,11 @@
 pub async fn get(shared: &Rc<Shared>, slot: &Slot) -> Option<Sample> {
     let part = shared.part_of(&slot.job);
     let (bundle, at, text) = {
-        let world = shared.world.borrow();
-        let head = &world.shelves[part].book.jobs.get(&slot.job)?.head;
+        let control = shared.control.borrow();
+        let head = &control.partitions[part].index.jobs.get(&slot.job)?.head;
         let brief = head.samples.get(slot.at)?;
         let (bundle, at) = (brief.bundle as usize, brief.at as usize);
-        let known = world.bundles.get(&(slot.job.clone(), bundle));
+        let known = control.bundles.get(&(slot.job.clone(), bundle));
         if let Some(bundle) = known {
             return bundle.samples.get(at).cloned();
         }
@@ -58,12 +58,12 @@
             return None;
         }
     };
-    let world = &mut *shared.world.borrow_mut();
+    let control = &mut *shared.control.borrow_mut();
     // A job that was ended meanwhile is not remembered.
-    let open = world.shelves[part].book.jobs.get(&slot.job).is_some_and(|job| !job.ended)
-        && !world.ending.holds(&slot.job);
+    let open = control.partitions[part].index.jobs.get(&slot.job).is_some_and(|job| !job.ended)
+        && !control.ending.holds(&slot.job);
     if open {
-        world.bundles.insert((slot.job.clone(), bundle), decoded.clone());
+        control.bundles.insert((slot.job.clone(), bundle), decoded.clone());
     }
     decoded.samples.get(at).cloned()
 }
@@ -72,12 +72,12 @@
 ///
 /// # Errors
 ///
-/// The store's [`Fault`]. Whatever it did, no job is kept by this.
+/// The store's [`StoreError`]. Whatever it did, no job is kept by this.
 pub async fn put(
     shared: &Rc<Shared>,
     job: &str,
     submission: &Submission,
-) -> Result<(Vec<Brief>, Vec<TextRef>), Fault> {
+) -> Result<(Vec<Brief>, Vec<TextRef>), StoreError> {
     let part = shared.part_of(job);
     let store = &shared.settings.store;
     let (briefs, bundles) = batch::bundle(submission, store.record_bytes / 2);
@@ -108,11 +108,11 @@
     number: u32,
     records: Vec<(Option<String>, Bytes)>,
     refs: &mut Vec<TextRef>,
-) -> Result<(), Fault> {
+) -> Result<(), StoreError> {
     if records.is_empty() {
         return Ok(());
     }
-    let part = Part::new(TEXTS, number);
+    let part = Partition::new(TEXTS, number);
     let purpose = Use::Requests;
     let append = Append { part, records: records.clone(), expected_end: None, purpose };
     let mut tries = 1;
@@ -121,7 +121,7 @@
             Ok(appended) => break appended.offset,
             // Records that were appended twice lie there twice; nothing but
             // the head names them.
-            Err(Fault::Unknown(why)) if tries < TRIES => {
+            Err(StoreError::OutcomeUnknown(why)) if tries < TRIES => {
                 log::info!("samples are appended again: {why}");
                 tries += 1;
             }
--- a/crates/hollywell/src/entry/serve.rs
+++ b/crates/hollywell/src/entry/serve.rs
@@ -35,7 +35,7 @@
         relay::Relay,
         reload,
         settings::{Settings, Store},
-        shared::{JOB_PARTS, Shared, Shelf, World},
+        shared::{Control, JOB_PARTS, JobPartition, Shared},
         store::Client,
         suspects,
         texts::Texts,
@@ -94,27 +94,27 @@
     let me = format!("{}@{}{domain}/{incarnation:x}", settings.name, settings.peer_listen);
     let writer = format!("{:08x}", xxhash_rust::xxh3::xxh3_64(me.as_bytes()) & u64::from(u32::MAX));
     let parts = JOB_PARTS.min(settings.store.parts).max(1) as usize;
-    let world = World {
-        plan: None,
-        plan_at: None,
+    let control = Control {
+        configuration: None,
+        configuration_read_at: None,
         fleet: Fleet::default(),
-        sights: Sights::default(),
+        observations: Sights::default(),
         dispatch: dispatch::State::new(&me).within(&settings.domain),
         ending: ending::State::new(&me),
         poison: poison::State::default(),
-        poison_known: false,
-        room: room::State::new(settings.store.room_bytes),
-        others: std::collections::HashMap::new(),
-        shelves: (0..parts).map(|_| Shelf::default()).collect(),
+        poison_loaded: false,
+        capacity: room::State::new(settings.store.room_bytes),
+        other_logs: std::collections::HashMap::new(),
+        partitions: (0..parts).map(|_| JobPartition::default()).collect(),
         models: crate::core::roll::Models::default(),
-        texts: std::collections::HashMap::new(),
+        partial_texts: std::collections::HashMap::new(),
         bundles: std::collections::HashMap::new(),
         runs: std::collections::HashMap::new(),
-        unopened: vec![],
+        unopened_jobs: vec![],
         roster: Roster::new(&me),
         census: Census::default(),
-        store_bad_since: None,
-        fleet_known: false,
+        store_failing_since: None,
+        fleet_loaded: false,
         stopping: false,
     };
     let pool = Pool::new();
@@ -131,7 +131,7 @@
         me,
         writer,
         written: Cell::new(0),
-        world: RefCell::new(world),
+        control: RefCell::new(control),
         configured: Notify::new(),
         regrouped: Notify::new(),
         membership: member::Membership::default(),
@@ -139,7 +139,7 @@
         readers: (0..parts).map(|_| Cell::new(0)).collect(),
         listed: (0..parts).map(|_| Notify::new()).collect(),
         outbox: (0..parts).map(|_| outbox::Outbox::default()).collect(),
-        texts: Texts::default(),
+        text_cache: Texts::default(),
         turns: RefCell::default(),
         usage: usage::Usage::default(),
         unsaved: suspects::Unsaved::default(),
@@ -198,9 +198,9 @@
     log::info!("stopping: {} requests open", open.count());
     let end = tokio::time::Instant::now() + shared.settings.times.grace.mul_f64(GRACE_SHARE);
     {
-        let mut world = shared.world.borrow_mut();
-        world.stopping = true;
-        world.roster.leave();
+        let mut control = shared.control.borrow_mut();
+        control.stopping = true;
+        control.roster.leave();
     }
     shared.stop.send_replace(true);
     outbox::save_partials(shared, 1).await;
@@ -223,7 +223,7 @@
     loop {
         tokio::time::sleep(TICK).await;
         let now = shared.now();
-        shared.world.borrow_mut().fleet.expire(now);
+        shared.control.borrow_mut().fleet.expire(now);
         shared.tell(&dispatch::Event::Tick);
         if swept.elapsed() > SWEEP {
             swept = tokio::time::Instant::now();
--- a/crates/hollywell/src/entry/shared.rs
+++ b/crates/hollywell/src/entry/shared.rs
@@ -45,7 +45,7 @@
         run,
         run::Text,
         settings::Settings,
-        store::{Append, Appended, Client, Fault, Part, Records},
+        store::{Append, Appended, Client, Partition, Records, StoreError},
         suspects,
         texts::Texts,
         usage,
@@ -69,9 +69,9 @@
 
 /// One partition of batch jobs as this instance has folded it.
 #[derive(Debug, Default)]
-pub struct Shelf {
+pub struct JobPartition {
     /// The jobs.
-    pub book: Book,
+    pub index: Book,
     /// The logs of jobs and of texts.
     pub logs: [room::Log; 2],
     /// The offset to read next.
@@ -87,7 +87,7 @@
     noted: Written,
 }
 
-impl Shelf {
+impl JobPartition {
     /// Whether what is known of the partition is out of date. While the store
     /// answers nobody here, nothing can be ended here either, and work that
     /// is known goes on; but not what only another instance has told of.
@@ -100,7 +100,7 @@
 
     /// Notes how much was written to the logs since the last note.
     fn note(&mut self, now: Time) {
-        let written = self.book.written;
+        let written = self.index.written;
         let before = std::mem::replace(&mut self.noted, written);
         self.logs[0].note(now, self.next, written.jobs - before.jobs);
         self.logs[1].note(now, written.texts_end, written.texts - before.texts);
@@ -109,16 +109,16 @@
 
 /// Mutable state. Borrowed for the length of one step, never across a wait.
 #[derive(Debug)]
-pub struct World {
+pub struct Control {
     /// The configuration in force, once one was read.
-    pub plan: Option<Rc<Plan>>,
+    pub configuration: Option<Rc<Plan>>,
     /// When the operator's topic was as this instance knows it; `None` before
     /// it was read.
-    pub plan_at: Option<Time>,
+    pub configuration_read_at: Option<Time>,
     /// The targets.
     pub fleet: Fleet,
     /// What was seen of them.
-    pub sights: Sights,
+    pub observations: Sights,
     /// What runs where.
     pub dispatch: dispatch::State,
     /// Ends that are not in the store yet.
@@ -126,41 +126,41 @@
     /// What is known against requests.
     pub poison: poison::State,
     /// What others know against requests was read.
-    pub poison_known: bool,
+    pub poison_loaded: bool,
     /// What is known of the store's room.
-    pub room: room::State,
+    pub capacity: room::State,
     /// Logs that others write to: the operator, the targets, all instances.
-    pub others: HashMap<Part, room::Log>,
+    pub other_logs: HashMap<Partition, room::Log>,
     /// Batch jobs, by partition.
-    pub shelves: Vec<Shelf>,
+    pub partitions: Vec<JobPartition>,
     /// Newest weights of each model, and how much of it is asked for.
     pub models: Models,
     /// Text of samples that are not listed.
-    pub texts: HashMap<Slot, Text>,
+    pub partial_texts: HashMap<Slot, Text>,
     /// Bundles of samples that this instance runs.
     pub bundles: HashMap<(String, usize), Rc<Bundle>>,
     /// Runs in flight.
     pub runs: HashMap<Run, AbortHandle>,
     /// Jobs that wait for a configuration that has their route.
-    pub unopened: Vec<String>,
+    pub unopened_jobs: Vec<String>,
     /// Live instances.
     pub roster: Roster,
     /// How many of them there are, as far as the store shows.
     pub census: Census,
     /// Since when it has failed, if the last call failed.
-    pub store_bad_since: Option<Time>,
+    pub store_failing_since: Option<Time>,
     /// Targets were read to the end of their topic.
-    pub fleet_known: bool,
+    pub fleet_loaded: bool,
     /// The instance is stopping.
     pub stopping: bool,
 }
 
-impl World {
+impl Control {
     /// Whether a sample, whose job lies in a partition, is still to be
     /// listed: its job is there, and no end of it was read or asked for.
     #[must_use]
     pub fn wants(&self, part: usize, slot: &Slot) -> bool {
-        let job = self.shelves[part].book.jobs.get(&slot.job);
+        let job = self.partitions[part].index.jobs.get(&slot.job);
         let open = job.is_some_and(|job| !job.ended && !job.done[slot.at]);
         open && !self.ending.holds(&slot.job)
     }
@@ -168,18 +168,18 @@
     /// Whether what is known of a partition of jobs is out of date.
     #[must_use]
     pub fn is_stale(&self, now: Time, part: usize) -> bool {
-        self.shelves[part].is_stale(now, &self.fleet)
+        self.partitions[part].is_stale(now, &self.fleet)
     }
 
     /// Which partitions became out of date or are so no longer. It is asked before each event, not now and then: an instance that
     /// wakes up from a pause must not act on what it knew before.
     fn staleness(&mut self, now: Time) -> Vec<Event> {
         let mut changed = Vec::new();
-        for (part, shelf) in self.shelves.iter_mut().enumerate() {
-            let stale = shelf.is_stale(now, &self.fleet);
-            if std::mem::replace(&mut shelf.stale, stale) != stale {
+        for (part, partition) in self.partitions.iter_mut().enumerate() {
+            let stale = partition.is_stale(now, &self.fleet);
+            if std::mem::replace(&mut partition.stale, stale) != stale {
                 changed.push(Event::Stale { part, stale });
-                if stale && shelf.read_at.is_none() {
+                if stale && partition.read_at.is_none() {
                     log::debug!("jobs of partition {part} are not known to be current yet");
                 } else if stale {
                     log::info!("jobs of partition {part} are out of date: nothing of them starts");
@@ -218,7 +218,7 @@
     /// What is counted and timed.
     pub meters: Meters,
     /// Mutable state.
-    pub world: RefCell<World>,
+    pub control: RefCell<Control>,
     /// Told when the operator's topic was read, here or by a peer.
     pub configured: Notify,
     /// Told when the group of instances changed.
@@ -234,7 +234,7 @@
     /// Results on their way to the store, by partition.
     pub outbox: Vec<outbox::Outbox>,
     /// Whole texts that were read or written lately.
-    pub texts: Texts,
+    pub text_cache: Texts,
     /// What is known against requests and not in the store yet.
     pub unsaved: suspects::Unsaved,
     /// Turns to try suspects that this instance gives out.
@@ -272,22 +272,22 @@
     pub fn store_did(&self, well: bool) {
         self.meters.store.with_label_values(&[if well { "yes" } else { "no" }]).inc();
         let now = self.now();
-        let mut world = self.world.borrow_mut();
+        let mut control = self.control.borrow_mut();
         if well {
-            let since = world.store_bad_since.take();
-            world.fleet.store(now, false);
+            let since = control.store_failing_since.take();
+            control.fleet.store(now, false);
             self.reader.store_is_away(false);
             if since.is_some_and(|since| now.since(since) > AWAY_MS) {
                 log::info!("store regained");
             }
             return;
         }
-        let since = *world.store_bad_since.get_or_insert(now);
+        let since = *control.store_failing_since.get_or_insert(now);
         let away = now.since(since) > AWAY_MS;
-        if away && !world.fleet.store_away {
+        if away && !control.fleet.store_away {
             log::warn!("store lost: no good answer for {} ms", now.since(since));
         }
-        world.fleet.store(now, away);
+        control.fleet.store(now, away);
         self.reader.store_is_away(away);
     }
 
@@ -296,28 +296,31 @@
     ///
     /// # Errors
     ///
-    /// The store's [`Fault`].
-    pub async fn append(&self, append: Append) -> Result<Appended, Fault> {
+    /// The store's [`StoreError`].
+    pub async fn append(&self, append: Append) -> Result<Appended, StoreError> {
         let (purpose, bytes) = (append.purpose.as_str(), append.bytes());
         let stored = append.stored();
-        let allowed = self.world.borrow().room.allows(self.now(), append.purpose, stored);
+        let allowed = self.control.borrow().capacity.allows(self.now(), append.purpose, stored);
         if !allowed {
             self.meters.unstored.with_label_values(&[purpose, "kept_back"]).inc();
-            return Err(Fault::Full);
+            return Err(StoreError::Full);
         }
         let appended = (self.store.append)(append).await;
         // A store that is full, or has another end, is there all the same.
-        self.store_did(matches!(appended, Ok(_) | Err(Fault::Full | Fault::Moved(_))));
+        self.store_did(matches!(
+            appended,
+            Ok(_) | Err(StoreError::Full | StoreError::EndMismatch(_))
+        ));
         match &appended {
             Ok(_) => {
-                self.world.borrow_mut().room.appended(stored);
+                self.control.borrow_mut().capacity.appended(stored);
                 let bytes = u64::try_from(bytes).unwrap_or(u64::MAX);
                 self.meters.stored.with_label_values(&[purpose]).inc_by(bytes);
             }
             Err(fault) => {
-                if *fault == Fault::Full {
+                if *fault == StoreError::Full {
                     let now = self.now();
-                    self.world.borrow_mut().room.refused(now);
+                    self.control.borrow_mut().capacity.refused(now);
                 }
                 self.meters.unstored.with_label_values(&[purpose, fault.as_str()]).inc();
             }
@@ -328,9 +331,9 @@
     /// Forgets what was believed of a target that has started again, which
     /// was at an address before: what was seen of it, and its connections. Its
     /// runs are moved by the reducer.
-    pub fn restarted(&self, world: &mut World, id: &str, address: std::net::SocketAddr) {
+    pub fn restarted(&self, control: &mut Control, id: &str, address: std::net::SocketAddr) {
         log::info!("target {id}, at {address}, has started again");
-        world.sights.forget(id);
+        control.observations.forget(id);
         self.pool.forget(address);
     }
 
@@ -338,12 +341,22 @@
     pub fn tell(self: &Rc<Shared>, event: &Event) {
         let now = self.now();
         let effects = {
-            let world = &mut *self.world.borrow_mut();
+            let control = &mut *self.control.borrow_mut();
             let mut effects = Vec::new();
-            for event in world.staleness(now) {
-                effects.extend(world.dispatch.step(now, &event, &world.fleet, &mut world.sights));
+            for event in control.staleness(now) {
+                effects.extend(control.dispatch.step(
+                    now,
+                    &event,
+                    &control.fleet,
+                    &mut control.observations,
+                ));
             }
-            effects.extend(world.dispatch.step(now, event, &world.fleet, &mut world.sights));
+            effects.extend(control.dispatch.step(
+                now,
+                event,
+                &control.fleet,
+                &mut control.observations,
+            ));
             effects
         };
         for effect in effects {
@@ -357,7 +370,7 @@
                 run::start(self, run, slot, &target, priority);
             }
             Effect::Cancel(run) => {
-                let handle = self.world.borrow_mut().runs.remove(&run);
+                let handle = self.control.borrow_mut().runs.remove(&run);
                 if let Some(handle) = handle {
                     handle.abort();
                 }
@@ -367,7 +380,7 @@
                 log::info!("sample {}/{} leaves {target}: {why:?}", slot.job, slot.at);
             }
             Effect::Discard(slot) => {
-                self.world.borrow_mut().texts.remove(&slot);
+                self.control.borrow_mut().partial_texts.remove(&slot);
             }
             Effect::Score(slot) => {
                 tokio::task::spawn_local(jobs::score(self.clone(), slot));
@@ -378,7 +391,7 @@
     }
 
     /// Counts what was read of a log that is not of jobs: it takes room too.
-    pub fn read_of(&self, part: &Part, read: &Records) {
+    pub fn read_of(&self, part: &Partition, read: &Records) {
         let bytes = |record: &Record| {
             (record.key.len() + record.value.as_ref().map_or(0, Bytes::len)) as u64
                 + room::LOG_OVERHEAD
@@ -386,8 +399,8 @@
         let written = read.records.iter().map(bytes).sum();
         let last = read.records.last().map_or(0, |record| record.offset + 1);
         let now = self.now();
-        let mut world = self.world.borrow_mut();
-        world.others.entry(part.clone()).or_default().note(now, last, written);
+        let mut control = self.control.borrow_mut();
+        control.other_logs.entry(part.clone()).or_default().note(now, last, written);
     }
 
     /// Folds records of a partition of jobs, skipping those folded before.
@@ -395,17 +408,17 @@
         let mut changes = Vec::new();
         let now = self.now();
         {
-            let shelf = &mut self.world.borrow_mut().shelves[part];
-            for record in records.iter().filter(|record| record.offset >= shelf.next) {
-                match shelf.book.apply(record) {
+            let partition = &mut self.control.borrow_mut().partitions[part];
+            for record in records.iter().filter(|record| record.offset >= partition.next) {
+                match partition.index.apply(record) {
                     Ok(more) => changes.extend(more),
                     Err(skip) => log::warn!("{skip}"),
                 }
             }
             let last = records.last().map_or(0, |record| record.offset + 1);
-            shelf.next = shelf.next.max(end).max(last);
-            shelf.loaded = true;
-            shelf.note(now);
+            partition.next = partition.next.max(end).max(last);
+            partition.loaded = true;
+            partition.note(now);
         }
         for change in changes {
             self.changed(part, change);
@@ -419,8 +432,8 @@
         let read = newest.records.iter().map(|record| record.key.as_str());
         let keys: HashSet<&str> = read.chain(newest.beyond.iter().map(String::as_str)).collect();
         let dropped = {
-            let shelf = &mut self.world.borrow_mut().shelves[part];
-            shelf.book.retain(newest.end, |head| keys.contains(head))
+            let partition = &mut self.control.borrow_mut().partitions[part];
+            partition.index.retain(newest.end, |head| keys.contains(head))
         };
         for job in dropped {
             log::info!("job {job} was dropped while nothing was read here");
@@ -447,24 +460,24 @@
     #[must_use]
     pub fn may_send(&self, slot: &Slot) -> bool {
         let now = self.now();
-        let world = self.world.borrow();
+        let control = self.control.borrow();
         let part = self.part_of(&slot.job);
-        world.wants(part, slot) && !world.is_stale(now, part)
+        control.wants(part, slot) && !control.is_stale(now, part)
     }
 
     /// Whether a target's failure domain may get something new. It is asked
     /// last before a send, as [`Shared::may_send`] is.
     #[must_use]
     pub fn may_reach(&self, target: &Announcement) -> bool {
-        !self.world.borrow().fleet.evacuated().contains(&target.domain)
+        !self.control.borrow().fleet.evacuated().contains(&target.domain)
     }
 
     /// Runs nothing more of a job, and forgets what only its runs need.
     pub fn close(self: &Rc<Shared>, job: &str) {
         {
-            let mut world = self.world.borrow_mut();
-            world.unopened.retain(|other| other != job);
-            world.bundles.retain(|(other, _), _| other != job);
+            let mut control = self.control.borrow_mut();
+            control.unopened_jobs.retain(|other| other != job);
+            control.bundles.retain(|(other, _), _| other != job);
         }
         self.tell(&Event::Closed(job.to_owned()));
     }
@@ -473,11 +486,11 @@
     /// further than this instance's own.
     fn grown(self: &Rc<Shared>, part: usize, slot: Slot) {
         let kept = {
-            let world = self.world.borrow();
-            let Some(own) = world.texts.get(&slot).map(|text| text.last) else {
+            let control = self.control.borrow();
+            let Some(own) = control.partial_texts.get(&slot).map(|text| text.last) else {
                 return;
             };
-            let job = world.shelves[part].book.jobs.get(&slot.job);
+            let job = control.partitions[part].index.jobs.get(&slot.job);
             let kept = job.and_then(|job| job.partials.get(&slot.at));
             kept.map(|kept| kept.last).filter(|last| *last > own)
         };
@@ -490,17 +503,17 @@
     /// its route is read.
     pub fn open(self: &Rc<Shared>, part: usize, id: String) {
         let work = {
-            let mut world = self.world.borrow_mut();
-            let Some(job) = world.shelves[part].book.jobs.get(&id) else {
+            let mut control = self.control.borrow_mut();
+            let Some(job) = control.partitions[part].index.jobs.get(&id) else {
                 return;
             };
-            if job.ended || job.is_whole() || world.ending.holds(&id) {
+            if job.ended || job.is_whole() || control.ending.holds(&id) {
                 return;
             }
-            let plan = world.plan.clone();
+            let plan = control.configuration.clone();
             let route = plan.as_ref().and_then(|plan| plan.route(&job.head.host, &job.head.path));
             let Some(route) = route.filter(|route| route.repeat == Repeat::Batch) else {
-                world.unopened.push(id);
+                control.unopened_jobs.push(id);
                 return;
             };
             let keep_ms = batch::keep_for(route.keep_ms, job.head.at_ms, wall_ms());
@@ -517,8 +530,8 @@
                 done: job.done.clone(),
             };
             let tokens = head.samples.iter().map(|sample| u64::from(sample.tokens)).sum();
-            world.models.asked(&head.model, tokens, head.samples.len() as u64);
-            work.samples = carry::items(&mut world.shelves, part, &work.job, &head);
+            control.models.asked(&head.model, tokens, head.samples.len() as u64);
+            work.samples = carry::items(&mut control.partitions, part, &work.job, &head);
             work
         };
         log::debug!("job {} opened: {} samples", work.job, work.samples.len());
@@ -527,7 +540,7 @@
 
     /// Tries again to open jobs whose route was not known.
     pub fn open_waiting(self: &Rc<Shared>) {
-        let waiting = std::mem::take(&mut self.world.borrow_mut().unopened);
+        let waiting = std::mem::take(&mut self.control.borrow_mut().unopened_jobs);
         for job in waiting {
             self.open(self.part_of(&job), job);
         }
--- a/crates/hollywell/src/entry/store.rs
+++ b/crates/hollywell/src/entry/store.rs
@@ -19,82 +19,82 @@
 
 /// Why a call failed.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Fault {
+pub enum StoreError {
     /// The store did nothing: it said so, or was not reached.
     Refused(String),
     /// The store has no room for what was to be appended; it did nothing.
     Full,
     /// The answer to a read did not begin, or stopped, for longer than is
     /// borne; its connection was given up.
-    Silent,
+    TimedOut,
     /// No answer came. The call may have been executed, or may be later.
-    Unknown(String),
+    OutcomeUnknown(String),
     /// The partition does not end where the caller said; its end.
-    Moved(u64),
+    EndMismatch(u64),
     /// The records asked for are gone; the first that is left.
-    Gone(u64),
+    Trimmed(u64),
     /// The store's answer makes no sense.
     Malformed(String),
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for StoreError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Fault::Refused(why) => write!(f, "the store refused: {why}"),
-            Fault::Full => f.write_str("the store is full"),
-            Fault::Silent => f.write_str("the store was silent for too long"),
-            Fault::Unknown(why) => write!(f, "no answer of the store: {why}"),
-            Fault::Moved(end) => write!(f, "the partition ends at {end}"),
-            Fault::Gone(first) => write!(f, "records before {first} are gone"),
-            Fault::Malformed(why) => write!(f, "the store's answer is malformed: {why}"),
+            StoreError::Refused(why) => write!(f, "the store refused: {why}"),
+            StoreError::Full => f.write_str("the store is full"),
+            StoreError::TimedOut => f.write_str("the store was silent for too long"),
+            StoreError::OutcomeUnknown(why) => write!(f, "no answer of the store: {why}"),
+            StoreError::EndMismatch(end) => write!(f, "the partition ends at {end}"),
+            StoreError::Trimmed(first) => write!(f, "records before {first} are gone"),
+            StoreError::Malformed(why) => write!(f, "the store's answer is malformed: {why}"),
         }
     }
 }
 
-impl std::error::Error for Fault {}
+impl std::error::Error for StoreError {}
 
-impl Fault {
+impl StoreError {
     /// Its kind's name in metrics.
     #[must_use]
     pub const fn as_str(&self) -> &'static str {
         match self {
-            Fault::Refused(_) => "refused",
-            Fault::Full => "full",
-            Fault::Silent => "silent",
-            Fault::Unknown(_) => "unknown",
-            Fault::Moved(_) => "moved",
-            Fault::Gone(_) => "gone",
-            Fault::Malformed(_) => "malformed",
+            StoreError::Refused(_) => "refused",
+            StoreError::Full => "full",
+            StoreError::TimedOut => "silent",
+            StoreError::OutcomeUnknown(_) => "unknown",
+            StoreError::EndMismatch(_) => "moved",
+            StoreError::Trimmed(_) => "gone",
+            StoreError::Malformed(_) => "malformed",
         }
     }
 
     /// Whether the store said, or cannot but, have done nothing.
     #[must_use]
-    pub const fn is_not_done(&self) -> bool {
-        matches!(self, Fault::Refused(_) | Fault::Full | Fault::Moved(_))
+    pub const fn is_not_applied(&self) -> bool {
+        matches!(self, StoreError::Refused(_) | StoreError::Full | StoreError::EndMismatch(_))
     }
 }
 
 /// A topic's partition.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Part {
+pub struct Partition {
     /// The topic.
     pub topic: String,
     /// The partition's number.
     pub number: u32,
 }
 
-impl Part {
+impl Partition {
     /// Names a partition.
     #[must_use]
-    pub fn new(topic: &str, number: u32) -> Part {
-        Part { topic: topic.to_owned(), number }
+    pub fn new(topic: &str, number: u32) -> Partition {
+        Partition { topic: topic.to_owned(), number }
     }
 
     /// Names a partition by its position in a list of them.
     #[must_use]
-    pub fn at(topic: &str, position: usize) -> Part {
-        Part::new(topic, u32::try_from(position).unwrap_or_default())
+    pub fn at(topic: &str, position: usize) -> Partition {
+        Partition::new(topic, u32::try_from(position).unwrap_or_default())
     }
 }
 
@@ -103,18 +103,18 @@
 /// that goes on coming is never given up, since all of it was sent for nothing
 /// then, and would be asked for again.
 #[derive(Clone, Debug)]
-pub struct Limited<T> {
+pub struct WithIdleTimeout<T> {
     /// What is read.
     pub read: T,
     /// How long the answer may be silent.
-    pub silence: Duration,
+    pub idle_timeout: Duration,
 }
 
 /// Records to append, all or none.
 #[derive(Clone, Debug)]
 pub struct Append {
     /// Where.
-    pub part: Part,
+    pub part: Partition,
     /// Keys (for keyed topics) and values.
     pub records: Vec<(Option<String>, Bytes)>,
     /// Append only if the partition ends here.
@@ -157,13 +157,13 @@
 #[derive(Clone, Debug)]
 pub struct Read {
     /// Where.
-    pub part: Part,
+    pub part: Partition,
     /// The first offset wanted.
     pub from: u64,
     /// How long to wait for a record; zero for not at all.
     pub wait: Duration,
     /// Most KB of records wanted; the store's own limit if not given.
-    pub most_kb: Option<usize>,
+    pub max_kb: Option<usize>,
 }
 
 /// Records of a partition.
@@ -205,7 +205,7 @@
 }
 
 /// One call of the store.
-pub type Call<I, O> = Rc<dyn Fn(I) -> LocalFuture<Result<O, Fault>>>;
+pub type Call<I, O> = Rc<dyn Fn(I) -> LocalFuture<Result<O, StoreError>>>;
 
 /// The store's client.
 #[derive(Clone)]
@@ -213,19 +213,19 @@
     /// Appends records.
     pub append: Call<Append, Appended>,
     /// Reads records, waiting for the first of them.
-    pub read: Call<Limited<Read>, Records>,
+    pub read: Call<WithIdleTimeout<Read>, Records>,
     /// Reads the newest record of each key, page by page.
-    pub newest: Call<Limited<(Part, Option<String>)>, Page>,
+    pub newest: Call<WithIdleTimeout<(Partition, Option<String>)>, Page>,
     /// Joins a group or stays in it; returns the generation.
     pub join: Call<Join, u64>,
     /// Leaves a group.
     pub leave: Call<(String, String), ()>,
     /// The members of a group that hold a partition.
-    pub members: Call<Limited<String>, Listing>,
+    pub members: Call<WithIdleTimeout<String>, Listing>,
     /// Deletes the records of a partition's log before an offset. Of a keyed
     /// topic the newest record of each key is kept, and can still be read by
     /// its key.
-    pub trim: Call<(Part, u64), ()>,
+    pub trim: Call<(Partition, u64), ()>,
 }
 
 impl fmt::Debug for Client {
--- a/crates/hollywell/src/entry/suspects.rs
+++ b/crates/hollywell/src/entry/suspects.rs
@@ -20,8 +20,8 @@
     },
     entry::{
         follow, peers,
-        shared::{Shared, World, wall_ms},
-        store::{Append, Fault, Part},
+        shared::{Control, Shared, wall_ms},
+        store::{Append, Partition, StoreError},
     },
 };
 
@@ -107,11 +107,11 @@
 /// What is to be done with a request. Its digest is taken only if something
 /// is known against any.
 pub fn verdict(shared: &Shared, digest: impl FnOnce() -> Digest) -> Verdict {
-    let world = shared.world.borrow();
-    if world.poison.is_empty() {
+    let control = shared.control.borrow();
+    if control.poison.is_empty() {
         return Verdict::Free;
     }
-    world.poison.verdict(wall_ms(), digest())
+    control.poison.verdict(wall_ms(), digest())
 }
 
 /// Where a suspect may be tried.
@@ -125,36 +125,36 @@
 
 /// Where a suspect may be tried among a pool's targets.
 pub fn trial(shared: &Shared, pool: &str, digest: Digest) -> Trial {
-    let (now, world) = (shared.now(), shared.world.borrow());
-    let since_ms = world.poison.since_end_ms(wall_ms(), digest).unwrap_or(u64::MAX);
-    let id = poison::trial(&sound(&world, now, pool), since_ms);
-    match id.and_then(|id| world.fleet.targets.get(id)) {
+    let (now, control) = (shared.now(), shared.control.borrow());
+    let since_ms = control.poison.since_end_ms(wall_ms(), digest).unwrap_or(u64::MAX);
+    let id = poison::trial(&sound(&control, now, pool), since_ms);
+    match id.and_then(|id| control.fleet.targets.get(id)) {
         Some(target) => Trial::At(Box::new(target.said.clone())),
         None => Trial::Nowhere,
     }
 }
 
 /// A pool's targets at which no exchange broke a moment ago.
-fn sound<'a>(world: &'a World, now: Time, pool: &'a str) -> Vec<&'a str> {
-    let all = world.fleet.usable(pool).map(|target| target.said.id.as_str());
-    all.filter(|id| !world.sights.is_broken(now, id)).collect()
+fn sound<'a>(control: &'a Control, now: Time, pool: &'a str) -> Vec<&'a str> {
+    let all = control.fleet.usable(pool).map(|target| target.said.id.as_str());
+    all.filter(|id| !control.observations.is_broken(now, id)).collect()
 }
 
 /// Whether a suspect's last end is so long ago that it is alone where it is
 /// tried.
 pub fn is_settled(shared: &Shared, digest: Digest) -> bool {
-    let since_ms = shared.world.borrow().poison.since_end_ms(wall_ms(), digest);
+    let since_ms = shared.control.borrow().poison.since_end_ms(wall_ms(), digest);
     since_ms.is_none_or(|since_ms| since_ms >= poison::SETTLE_MS)
 }
 
 /// The target of a pool that is kept free for suspects, while any may be
 /// tried soon.
 pub fn reserved(shared: &Shared, pool: &str) -> Option<String> {
-    let (now, world) = (shared.now(), shared.world.borrow());
-    if !world.poison.is_trying(wall_ms()) {
+    let (now, control) = (shared.now(), shared.control.borrow());
+    if !control.poison.is_trying(wall_ms()) {
         return None;
     }
-    poison::trial(&sound(&world, now, pool), 0).map(str::to_owned)
+    poison::trial(&sound(&control, now, pool), 0).map(str::to_owned)
 }
 
 /// The turn to try a suspect at a pool, which one of all instances has at a
@@ -198,8 +198,8 @@
 /// tried there, or whoever gives turns out cannot be reached.
 pub async fn turn(shared: &Rc<Shared>, pool: &str) -> Option<Turn> {
     let keeper = {
-        let world = shared.world.borrow();
-        dispatch::owner(world.roster.members(), TURN_PATH, pool).map(str::to_owned)
+        let control = shared.control.borrow();
+        dispatch::owner(control.roster.members(), TURN_PATH, pool).map(str::to_owned)
     }?;
     let keeper = Some(keeper).filter(|keeper| *keeper != shared.me);
     // An instance asks for one at a time, however many suspects wait here.
@@ -248,12 +248,12 @@
     }
     let life = target.life();
     let (is_news, verdict) = {
-        let mut world = shared.world.borrow_mut();
+        let mut control = shared.control.borrow_mut();
         let is_news = match is_alone {
-            true => world.poison.ended_alone(wall_ms(), digest, &life),
-            false => world.poison.ended(wall_ms(), digest, &life),
+            true => control.poison.ended_alone(wall_ms(), digest, &life),
+            false => control.poison.ended(wall_ms(), digest, &life),
         };
-        (is_news, world.poison.verdict(wall_ms(), digest))
+        (is_news, control.poison.verdict(wall_ms(), digest))
     };
     shared.meters.targets_ended.inc();
     log::info!("target {life} has ended while {digest} was there: {verdict:?}");
@@ -266,12 +266,12 @@
 /// Notes that a target has answered a request, or goes on with it.
 pub fn served(shared: &Shared, digest: impl FnOnce() -> Digest) {
     let known = {
-        let mut world = shared.world.borrow_mut();
-        if world.poison.is_empty() {
+        let mut control = shared.control.borrow_mut();
+        if control.poison.is_empty() {
             return;
         }
         let digest = digest();
-        world.poison.served(digest).then_some(digest)
+        control.poison.served(digest).then_some(digest)
     };
     if let Some(digest) = known {
         log::info!("{digest} was served: nothing is held against it");
@@ -282,9 +282,9 @@
 /// Forgets what nothing follows from any more. One instance drops it from the
 /// store.
 pub fn expire(shared: &Shared) {
-    let mut world = shared.world.borrow_mut();
-    let over = world.poison.expire(wall_ms());
-    let members = world.roster.members();
+    let mut control = shared.control.borrow_mut();
+    let over = control.poison.expire(wall_ms());
+    let members = control.roster.members();
     let is_mine = |digest: &&Digest| {
         dispatch::owner(members, &digest.to_string(), "") == Some(shared.me.as_str())
     };
@@ -318,24 +318,24 @@
 }
 
 fn said(shared: &Shared, digests: &[Digest]) -> Vec<Said> {
-    let world = shared.world.borrow();
+    let control = shared.control.borrow();
     let one = |digest: &Digest| Said {
         digest: digest.to_string(),
-        record: world.poison.record(*digest).unwrap_or_default().into(),
+        record: control.poison.record(*digest).unwrap_or_default().into(),
     };
     digests.iter().map(one).collect()
 }
 
-async fn append(shared: &Shared, said: &[Said]) -> Result<(), Fault> {
+async fn append(shared: &Shared, said: &[Said]) -> Result<(), StoreError> {
     let record = |said: &Said| (Some(said.digest.clone()), said.record.clone());
     let records = said.iter().map(record).collect();
-    let (part, purpose) = (Part::new(TOPIC, 0), Use::Suspect);
+    let (part, purpose) = (Partition::new(TOPIC, 0), Use::Suspect);
     shared.append(Append { part, records, expected_end: None, purpose }).await.map(|_| ())
 }
 
 fn tell_all(shared: &Rc<Shared>, said: &[Said]) {
     let word = Bytes::from(Word { records: said.to_vec() }.encode_to_vec());
-    let members = shared.world.borrow().roster.members().to_vec();
+    let members = shared.control.borrow().roster.members().to_vec();
     for member in members.into_iter().filter(|member| *member != shared.me) {
         tokio::task::spawn_local(tell(shared.clone(), member, word.clone()));
     }
@@ -359,13 +359,13 @@
 
 /// Takes a record in, the store's or a peer's.
 fn take(shared: &Shared, key: &str, record: &[u8]) {
-    let mut world = shared.world.borrow_mut();
+    let mut control = shared.control.borrow_mut();
     let taken = key.parse::<Digest>().and_then(|digest| {
         if record.is_empty() {
-            world.poison.served(digest);
+            control.poison.served(digest);
             return Ok(());
         }
-        world.poison.read(wall_ms(), digest, record)
+        control.poison.read(wall_ms(), digest, record)
     });
     if let Err(error) = taken {
         shared.meters.suspects_skipped.inc();
@@ -375,7 +375,7 @@
 
 /// Follows what the instances have recorded.
 pub async fn serve(shared: Rc<Shared>) {
-    let part = Part::new(TOPIC, 0);
+    let part = Partition::new(TOPIC, 0);
     follow::follow(
         shared,
         part,
@@ -386,7 +386,7 @@
             for record in &records.records {
                 take(shared, &record.key, record.value.as_deref().unwrap_or_default());
             }
-            shared.world.borrow_mut().poison_known = true;
+            shared.control.borrow_mut().poison_loaded = true;
         },
     )
     .await;
--- a/crates/hollywell/src/entry/texts.rs
+++ b/crates/hollywell/src/entry/texts.rs
@@ -14,7 +14,7 @@
     core::batch::TextRef,
     entry::{
         shared::{Shared, TEXTS},
-        store::{Fault, Part, Read},
+        store::{Partition, Read, StoreError},
     },
 };
 
@@ -69,12 +69,12 @@
 ///
 /// # Errors
 ///
-/// The store's [`Fault`]; [`Fault::Malformed`] where a text is not there.
-pub async fn fetch(shared: &Rc<Shared>, wanted: &[TextRef]) -> Result<Vec<Bytes>, Fault> {
+/// The store's [`StoreError`]; [`StoreError::Malformed`] where a text is not there.
+pub async fn fetch(shared: &Rc<Shared>, wanted: &[TextRef]) -> Result<Vec<Bytes>, StoreError> {
     let part = wanted.first().map_or(0, |text| text.part);
     let mut found: BTreeMap<u64, Bytes> = BTreeMap::new();
     for text in wanted {
-        if let Some(kept) = shared.texts.get(text) {
+        if let Some(kept) = shared.text_cache.get(text) {
             found.insert(text.offset, kept);
         }
     }
@@ -82,7 +82,7 @@
         match read(shared, part, from, wanted, &mut found).await {
             Ok(()) if found.contains_key(&from) => {}
             // The record itself is gone, or the history up to it.
-            Ok(()) | Err(Fault::Gone(_)) => {
+            Ok(()) | Err(StoreError::Trimmed(_)) => {
                 return by_key(shared, part, wanted).await;
             }
             Err(fault) => return Err(fault),
@@ -102,17 +102,17 @@
     from: u64,
     wanted: &[TextRef],
     found: &mut BTreeMap<u64, Bytes>,
-) -> Result<(), Fault> {
+) -> Result<(), StoreError> {
     let missing = wanted.iter().filter(|text| !found.contains_key(&text.offset));
     let bytes: usize = missing.map(|text| text.bytes() + RECORD_BYTES).sum();
-    let most_kb = Some(bytes.div_ceil(1_024).min(MOST_KB));
-    let read = Read { part: Part::new(TEXTS, part), from, wait: Duration::ZERO, most_kb };
+    let max_kb = Some(bytes.div_ceil(1_024).min(MOST_KB));
+    let read = Read { part: Partition::new(TEXTS, part), from, wait: Duration::ZERO, max_kb };
     for record in shared.reader.read(read).await?.records {
         let is_wanted = |text: &&TextRef| text.offset == record.offset && text.key == record.key;
         if let (Some(at), Some(value)) = (wanted.iter().find(is_wanted), record.value) {
             // A copy: the record is a part of the whole read.
             let text = Bytes::copy_from_slice(&value);
-            shared.texts.keep(at, text.clone());
+            shared.text_cache.keep(at, text.clone());
             found.insert(record.offset, text);
         }
     }
@@ -126,13 +126,17 @@
 }
 
 /// Reads texts by their keys, which are kept for good.
-async fn by_key(shared: &Rc<Shared>, part: u32, wanted: &[TextRef]) -> Result<Vec<Bytes>, Fault> {
+async fn by_key(
+    shared: &Rc<Shared>,
+    part: u32,
+    wanted: &[TextRef],
+) -> Result<Vec<Bytes>, StoreError> {
     let mut found: BTreeMap<String, Bytes> = BTreeMap::new();
     let first = wanted.iter().map(|text| text.key.as_str()).min().unwrap_or_default();
     let last = wanted.iter().map(|text| text.key.as_str()).max().unwrap_or_default();
     let mut after = Some(just_before(first));
     while after.as_ref().is_some_and(|key| key.as_str() < last) {
-        let page = shared.reader.newest(&Part::new(TEXTS, part), after).await?;
+        let page = shared.reader.newest(&Partition::new(TEXTS, part), after).await?;
         for record in page.records {
             let is_wanted = |text: &&TextRef| text.key == record.key;
             if let (Some(_), Some(value)) = (wanted.iter().find(is_wanted), record.value) {
@@ -145,7 +149,7 @@
         after = page.after.zip(next).map(|(after, next)| after.max(next));
     }
     let text = |text: &TextRef| {
-        let missing = || Fault::Malformed(format!("no text under {:?}", text.key));
+        let missing = || StoreError::Malformed(format!("no text under {:?}", text.key));
         found.get(&text.key).cloned().ok_or_else(missing)
     };
     wanted.iter().map(text).collect()
--- a/crates/hollywell/src/entry/unbegun.rs
+++ b/crates/hollywell/src/entry/unbegun.rs
@@ -63,28 +63,28 @@
 /// Why nothing of a job has begun; `None` if something has, or it was ended.
 fn unbegun(shared: &Shared, part: usize, id: &str) -> Option<Why> {
     let now = shared.now();
-    let world = shared.world.borrow();
-    let shelf = &world.shelves[part];
-    let Some(job) = shelf.book.jobs.get(id) else {
-        return (!world.ending.holds(id)).then_some(Why::Unread);
+    let control = shared.control.borrow();
+    let partition = &control.partitions[part];
+    let Some(job) = partition.index.jobs.get(id) else {
+        return (!control.ending.holds(id)).then_some(Why::Unread);
     };
-    let is_here = world.texts.keys().any(|slot| slot.job == id);
+    let is_here = control.partial_texts.keys().any(|slot| slot.job == id);
     if job.ended || is_here || !job.listed.is_empty() || !job.partials.is_empty() {
         return None;
     }
-    let plan = world.plan.as_ref();
+    let plan = control.configuration.as_ref();
     let route = plan.and_then(|plan| plan.route(&job.head.host, &job.head.path));
     let pool = route.and_then(|route| route.pools.first());
     let Some((pool, _)) = pool else {
         return Some(Why::Unrouted);
     };
-    if world.is_stale(now, part) {
+    if control.is_stale(now, part) {
         return Some(Why::Stale);
     }
-    if world.roster.members().is_empty() {
+    if control.roster.members().is_empty() {
         return Some(Why::Alone);
     }
     let fits = |target: &Target| target.may_run(&job.head.model, job.head.min_version);
-    let is_served = world.fleet.usable(pool).any(fits);
+    let is_served = control.fleet.usable(pool).any(fits);
     Some(if is_served { Why::Waits } else { Why::NoTarget })
 }
--- a/crates/hollywell/src/entry/usage.rs
+++ b/crates/hollywell/src/entry/usage.rs
@@ -20,7 +20,7 @@
     entry::{
         peers,
         shared::{Shared, wall_ms},
-        store::{Append, Fault, Part},
+        store::{Append, Partition, StoreError},
     },
 };
 
@@ -97,7 +97,7 @@
     let mut is_failing = false;
     loop {
         shared.usage.changed.notified().await;
-        let members = shared.world.borrow().roster.members().len() as f64;
+        let members = shared.control.borrow().roster.members().len() as f64;
         sleep(GATHER.mul_f64((members / GATHER_MEMBERS).max(1.0))).await;
         let own = shared.usage.tally.borrow_mut().take(&shared.writer);
         let carried = std::mem::take(&mut *shared.usage.carried.borrow_mut());
@@ -125,12 +125,12 @@
 }
 
 /// Appends keyed records of usage.
-async fn append(shared: &Shared, records: &[(String, Bytes)]) -> Result<(), Fault> {
+async fn append(shared: &Shared, records: &[(String, Bytes)]) -> Result<(), StoreError> {
     let records = records.iter().map(|(key, value)| (Some(key.clone()), value.clone())).collect();
-    let (part, purpose) = (Part::new(TOPIC, 0), Use::Usage);
+    let (part, purpose) = (Partition::new(TOPIC, 0), Use::Usage);
     let append = shared.append(Append { part, records, expected_end: None, purpose });
     // Where it is done after all, the same records come twice.
-    let late = |_| Fault::Unknown(String::from("no answer in time"));
+    let late = |_| StoreError::OutcomeUnknown(String::from("no answer in time"));
     timeout(PATIENCE, append).await.map_err(late)?.map(|_| ())
 }
 
--- a/crates/hollywell/tests/reader.rs
+++ b/crates/hollywell/tests/reader.rs
@@ -13,7 +13,9 @@
     core::patience::{Patience, pause_most_ms},
     entry::{
         reader::Reader,
-        store::{Append, Client, Fault, Join, LocalFuture, Newest, Page, Part, Read, Records},
+        store::{
+            Append, Client, Join, LocalFuture, Newest, Page, Partition, Read, Records, StoreError,
+        },
     },
 };
 use tokio::{
@@ -65,13 +67,17 @@
     /// The client of one instance. Its first call after it is named in
     /// `dead` gets no answer.
     fn client(self: &Rc<Line>, instance: usize) -> Client {
-        fn refused<I: 'static, T: 'static>() -> Rc<dyn Fn(I) -> LocalFuture<Result<T, Fault>>> {
-            Rc::new(|_| Box::pin(async { Err(Fault::Refused(String::from("not played"))) }))
+        fn refused<I: 'static, T: 'static>() -> Rc<dyn Fn(I) -> LocalFuture<Result<T, StoreError>>>
+        {
+            Rc::new(|_| Box::pin(async { Err(StoreError::Refused(String::from("not played"))) }))
         }
         let line = self.clone();
-        let newest = move |limited: hollywell::entry::store::Limited<(Part, Option<String>)>| {
+        let newest = move |limited: hollywell::entry::store::WithIdleTimeout<(
+            Partition,
+            Option<String>,
+        )>| {
             let line = line.clone();
-            let page: LocalFuture<Result<Page, Fault>> = Box::pin(async move {
+            let page: LocalFuture<Result<Page, StoreError>> = Box::pin(async move {
                 let (_, after) = limited.read;
                 let number = after.map_or(0, |after| after.parse::<usize>().unwrap() + 1);
                 let is_dead = {
@@ -85,9 +91,9 @@
                     }
                     line.send(PAGE_BYTES).await;
                 };
-                if timeout(limited.silence, answer).await.is_err() {
+                if timeout(limited.idle_timeout, answer).await.is_err() {
                     line.given_up.set(line.given_up.get() + 1);
-                    return Err(Fault::Silent);
+                    return Err(StoreError::TimedOut);
                 }
                 let after = (number + 1 < PAGES).then(|| number.to_string());
                 Ok(Page { records: vec![], after, end: 1 })
@@ -95,14 +101,14 @@
             page
         };
         let line = self.clone();
-        let read = move |limited: hollywell::entry::store::Limited<Read>| {
+        let read = move |limited: hollywell::entry::store::WithIdleTimeout<Read>| {
             let line = line.clone();
-            let records: LocalFuture<Result<Records, Fault>> = Box::pin(async move {
+            let records: LocalFuture<Result<Records, StoreError>> = Box::pin(async move {
                 if Instant::now() >= line.cut_until.get() {
                     return Ok(Records::default());
                 }
-                sleep_until(Instant::now() + limited.silence).await;
-                Err(Fault::Silent)
+                sleep_until(Instant::now() + limited.idle_timeout).await;
+                Err(StoreError::TimedOut)
             });
             records
         };
@@ -125,7 +131,7 @@
         let reader = reader.clone();
         parts.push(tokio::task::spawn_local(async move {
             let (mut newest, mut failures) = (Newest::default(), 0);
-            while reader.newest_on(&Part::at("jobs", part), &mut newest).await.is_err() {
+            while reader.resume_newest(&Partition::at("jobs", part), &mut newest).await.is_err() {
                 failures += 1;
                 reader.pause(failures).await;
             }
@@ -141,8 +147,8 @@
 async fn read_on(reader: Rc<Reader>, part: usize) {
     let mut failures = 0;
     loop {
-        let part = Part::at("jobs", part);
-        let read = Read { part, from: 0, wait: Duration::ZERO, most_kb: None };
+        let part = Partition::at("jobs", part);
+        let read = Read { part, from: 0, wait: Duration::ZERO, max_kb: None };
         if reader.read(read).await.is_ok() {
             return;
         }
