--- a/crates/hollywell/src/entry/caller.rs
+++ b/crates/hollywell/src/entry/caller.rs
@@ -140,7 +140,7 @@
 ) -> Result<T, Kind> {
     let until = Instant::now() + WAIT;
     loop {
-        let told = shared.configured.notified();
+        let told = shared.configuration_read.notified();
         let plan = shared.control.borrow().configuration.clone().ok_or(Kind::StoreAway)?;
         let current = is_current(shared);
         match judge(&plan) {
--- a/crates/hollywell/src/entry/clean.rs
+++ b/crates/hollywell/src/entry/clean.rs
@@ -18,7 +18,7 @@
         time::Time,
     },
     entry::{
-        shared::{JOBS, Shared, TEXTS, wall_ms},
+        shared::{JOBS, Shared, TEXTS, unix_ms},
         store::{Append, Partition, StoreError},
     },
 };
@@ -112,7 +112,7 @@
     loop {
         sleep(LOOK).await;
         look(&shared, &mut spares);
-        for part in 0..shared.listed.len() {
+        for part in 0..shared.partition_changed.len() {
             let due = due(&shared, part, &spares);
             match drop_due(&shared, part, &due).await {
                 Ok(()) => done(&shared, part, due, &mut spares),
@@ -141,7 +141,7 @@
 /// Records of a partition that nothing needs and that fall to this instance.
 fn due(shared: &Shared, part: usize, spares: &HashMap<String, Spare>) -> Due {
     let status_ms = shared.settings.times.status_ms();
-    let (now, wall_ms, terms) = (shared.now(), wall_ms(), Terms { status_ms });
+    let (now, unix_ms, terms) = (shared.now(), unix_ms(), Terms { status_ms });
     let control = shared.control.borrow();
     let mut due = Due::default();
     let book = &control.partitions[part].index;
@@ -150,7 +150,7 @@
             continue;
         };
         let mut after_drop = None;
-        let keys = if spare.is_over(job, now, wall_ms, terms) {
+        let keys = if spare.is_over(job, now, unix_ms, terms) {
             job.keys(id)
         } else {
             let (keys, after) = spare.next(id, job, now);
@@ -158,7 +158,9 @@
             keys
         };
         // Asked last: it takes a hash for each instance.
-        if keys.is_empty() || owner(control.roster.members(), id, "") != Some(shared.me.as_str()) {
+        if keys.is_empty()
+            || owner(control.roster.members(), id, "") != Some(shared.instance_id.as_str())
+        {
             continue;
         }
         match after_drop {
--- a/crates/hollywell/src/entry/duties.rs
+++ b/crates/hollywell/src/entry/duties.rs
@@ -90,9 +90,9 @@
     if control.stopping {
         return false;
     }
-    let domain = roster::domain(&shared.me);
+    let domain = roster::domain(&shared.instance_id);
     roster::candidates(control.roster.members(), domain, LEASE, CANDIDATES)
-        .contains(&shared.me.as_str())
+        .contains(&shared.instance_id.as_str())
 }
 
 impl Office {
@@ -214,7 +214,7 @@
 async fn newest(shared: &Shared, topic: &str) -> Result<Records, StoreError> {
     let mut newest = Newest::default();
     let read = shared.reader.resume_newest(&Partition::new(topic, 0), &mut newest).await;
-    shared.store_did(read.is_ok());
+    shared.record_store_result(read.is_ok());
     read?;
     Ok(newest.into_records())
 }
--- a/crates/hollywell/src/entry/ends.rs
+++ b/crates/hollywell/src/entry/ends.rs
@@ -51,7 +51,7 @@
         match effect {
             Effect::Close(job) => {
                 log::info!("end of job {job} is held: nothing more of it runs here");
-                shared.close(&job);
+                shared.close_job(&job);
             }
             Effect::Append(job) => {
                 tokio::task::spawn_local(append(shared.clone(), job));
@@ -91,13 +91,13 @@
 /// Whether a job's end was read.
 fn is_ended(shared: &Shared, job: &str) -> bool {
     let control = shared.control.borrow();
-    let job = control.partitions[shared.part_of(job)].index.jobs.get(job);
+    let job = control.partitions[shared.partition_of(job)].index.jobs.get(job);
     job.is_some_and(|job| job.ended)
 }
 
 fn progress(shared: &Shared, job: &str) -> Progress {
     let control = shared.control.borrow();
-    let known = control.partitions[shared.part_of(job)].index.jobs.get(job);
+    let known = control.partitions[shared.partition_of(job)].index.jobs.get(job);
     if known.is_none_or(|job| job.ended) || control.ending.is_stored(job) {
         return Progress::Done;
     }
@@ -108,7 +108,7 @@
 /// head is appended late: whoever was told nothing about its submission may
 /// ask for its end first. It is dropped if the job does not come.
 pub fn leave(shared: &Rc<Shared>, job: &str) {
-    shared.orphans.end(shared.now(), shared.part_of(job), job);
+    shared.orphans.end(shared.now(), shared.partition_of(job), job);
     let (shared, job) = (shared.clone(), job.to_owned());
     tokio::task::spawn_local(async move {
         if let Err(fault) = append_end(&shared, &job).await {
@@ -118,7 +118,7 @@
 }
 
 async fn append_end(shared: &Shared, job: &str) -> Result<Appended, StoreError> {
-    let part = Partition::at(JOBS, shared.part_of(job));
+    let part = Partition::at(JOBS, shared.partition_of(job));
     let (key, value) = batch::end_record(job);
     let records = vec![(Some(key), value)];
     shared.append(Append { part, records, expected_end: None, purpose: Use::End }).await
@@ -140,7 +140,7 @@
 }
 
 async fn tell_peer(shared: Rc<Shared>, member: String, jobs: Vec<String>) {
-    let word = Word { by: shared.me.clone(), jobs };
+    let word = Word { by: shared.instance_id.clone(), jobs };
     match peers::post(&shared, &member, PATH, word.encode_to_vec().into()).await {
         Ok(()) => tell(&shared, &Event::Confirmed { member, jobs: word.jobs }),
         Err(why) => log::info!("telling {member} of {} ends: {why}", word.jobs.len()),
@@ -156,7 +156,9 @@
             let known: BTreeSet<String> = control
                 .ending
                 .jobs()
-                .filter(|job| control.partitions[shared.part_of(job)].index.jobs.contains_key(*job))
+                .filter(|job| {
+                    control.partitions[shared.partition_of(job)].index.jobs.contains_key(*job)
+                })
                 .map(str::to_owned)
                 .collect();
             if control.ending.jobs().next().is_none() {
--- a/crates/hollywell/src/entry/feed.rs
+++ b/crates/hollywell/src/entry/feed.rs
@@ -227,7 +227,8 @@
 /// the store itself.
 pub(super) fn sources(shared: &Shared) -> Vec<String> {
     let control = shared.control.borrow();
-    let all = relay::sources(control.roster.members(), &shared.me, is_crowded(shared, &control));
+    let all =
+        relay::sources(control.roster.members(), &shared.instance_id, is_crowded(shared, &control));
     all.into_iter().map(str::to_owned).collect()
 }
 
@@ -249,7 +250,7 @@
 
 /// How many instances ask the one that this instance follows.
 pub(super) fn followers(shared: &Shared) -> usize {
-    relay::followers(shared.control.borrow().roster.members(), &shared.me)
+    relay::followers(shared.control.borrow().roster.members(), &shared.instance_id)
 }
 
 /// How many instances read the store's partitions, as far as is known.
@@ -263,7 +264,7 @@
 /// Whether others follow this instance.
 pub(super) fn is_source(shared: &Shared) -> bool {
     let control = shared.control.borrow();
-    relay::is_source(control.roster.members(), &shared.me, is_crowded(shared, &control))
+    relay::is_source(control.roster.members(), &shared.instance_id, is_crowded(shared, &control))
 }
 
 /// Notes what was read of a partition from its beginning, so that only what
@@ -273,8 +274,8 @@
     {
         let control = shared.control.borrow();
         let members = control.roster.members();
-        let is_root = relay::parent(members, &shared.me).is_none();
-        if !is_root || !relay::is_used(members, &shared.me) {
+        let is_root = relay::parent(members, &shared.instance_id).is_none();
+        if !is_root || !relay::is_used(members, &shared.instance_id) {
             return;
         }
     }
--- a/crates/hollywell/src/entry/follow.rs
+++ b/crates/hollywell/src/entry/follow.rs
@@ -155,7 +155,7 @@
     ) -> Result<Fed, StoreError> {
         let asked_at = shared.now();
         shared.reader.resume_newest(part, &mut self.newest).await?;
-        shared.store_did(true);
+        shared.record_store_result(true);
         let records = std::mem::take(&mut self.newest).into_records();
         if is_fed {
             feed::begin(shared, part, &records);
@@ -179,7 +179,7 @@
         let wait = if is_source { self.wait.min(SOURCE_WAIT) } else { self.wait };
         let read = Read { part: part.clone(), from, wait, max_kb: None };
         let records = shared.reader.read(read).await?;
-        shared.store_did(true);
+        shared.record_store_result(true);
         if is_source {
             feed::keep(shared, part, from, &records, asked_at);
         }
@@ -230,7 +230,7 @@
         match position.read(&shared, &part, is_fed).await {
             Ok(Fed { records, asked_at, anew }) => {
                 if part.topic != JOBS {
-                    shared.read_of(&part, &records);
+                    shared.account_for_read(&part, &records);
                 }
                 position.advance(&records);
                 position.is_current |= !anew;
@@ -246,12 +246,12 @@
                 }
             }
             Err(StoreError::Trimmed(first)) => {
-                shared.store_did(true);
+                shared.record_store_result(true);
                 log::warn!("records of {}/{} before {first} are gone", part.topic, part.number);
                 position.next = (!keyed).then_some(first);
             }
             Err(fault) => {
-                shared.store_did(false);
+                shared.record_store_result(false);
                 log::info!("reading {}/{}: {fault}", part.topic, part.number);
                 position.fail();
                 shared.reader.pause(position.failures).await;
@@ -261,7 +261,7 @@
 }
 
 fn jobs_pause(shared: &Shared, part: usize) -> Duration {
-    if shared.readers[part].get() > 0 {
+    if shared.result_waiters[part].get() > 0 {
         return JOBS_PAUSE;
     }
     if feed::is_follower(shared) {
@@ -275,14 +275,14 @@
 pub async fn jobs(shared: Rc<Shared>, part: usize) {
     let hurry = shared.clone();
     let pause = move |shared: &Shared| jobs_pause(shared, part);
-    let sooner = Some(&hurry.accepted[part]);
+    let sooner = Some(&hurry.job_accepted[part]);
     follow(shared, Partition::at(JOBS, part), pause, sooner, true, move |shared, records, from| {
         let end = if from.anew { records.end } else { 0 };
         shared.control.borrow_mut().partitions[part].read_at = from.asked_at;
         if from.anew {
-            shared.drop_missing(part, &records);
+            shared.remove_missing_jobs(part, &records);
         }
-        shared.absorb(part, &records.records, end);
+        shared.apply_records(part, &records.records, end);
     })
     .await;
 }
@@ -314,7 +314,7 @@
                 }
                 control.fleet_loaded |= from.asked_at.is_some();
             }
-            shared.tell(&crate::core::dispatch::Event::Tick);
+            shared.handle_event(&crate::core::dispatch::Event::Tick);
         },
     )
     .await;
@@ -344,7 +344,7 @@
     match control.fleet.announce(now, said) {
         Heard::Taken => {}
         Heard::Outdated => log::info!("entry of {id}, start {born:?}, is out of date"),
-        Heard::Restarted(address) => shared.restarted(control, &id, address),
+        Heard::Restarted(address) => shared.reset_target(control, &id, address),
     }
 }
 
@@ -367,7 +367,7 @@
             if let Some(asked_at) = from.asked_at {
                 plans::current(shared, asked_at);
             }
-            shared.open_waiting();
+            shared.open_waiting_jobs();
         },
     )
     .await;
--- a/crates/hollywell/src/entry/forward.rs
+++ b/crates/hollywell/src/entry/forward.rs
@@ -327,7 +327,7 @@
     let is_reserved = |target: &Announcement| reserved.as_ref() == Some(&target.id);
     let fresh = all().filter(|target| !tried.contains(&target.id) && !is_reserved(target));
     // Instances that know nothing of any target must not all pick the same.
-    let mine = xxhash_rust::xxh3::xxh3_64(shared.me.as_bytes());
+    let mine = xxhash_rust::xxh3::xxh3_64(shared.instance_id.as_bytes());
     let salt = mine ^ salt.wrapping_add(tried.len() as u64);
     let need = Need { events: 1.0, most_load: MOST_LOAD, sharers: 1.0, salt };
     let choice = control.observations.choose(now, fresh, need);
@@ -388,11 +388,11 @@
     let limit = Duration::from_millis(limit_ms);
     let started = shared.now();
     let wanted = || {
-        let may_reach = shared.may_reach(target);
-        if may_reach {
+        let may_send_to = shared.may_send_to(target);
+        if may_send_to {
             plain.begin(shared);
         }
-        may_reach
+        may_send_to
     };
     let first = request(shared, plain, target, left_ms);
     let mut answer = shared.pool.send_if(target.address, first, limit, wanted).await;
--- a/crates/hollywell/src/entry/jobs.rs
+++ b/crates/hollywell/src/entry/jobs.rs
@@ -27,7 +27,7 @@
         forward::{self, Plain, Verdict},
         news::{self, News},
         room, samples,
-        shared::{JOBS, Shared, wall_ms},
+        shared::{JOBS, Shared, unix_ms},
         store::{Append, Partition, Read, StoreError},
         texts, unbegun,
     },
@@ -91,7 +91,7 @@
     path: &str,
     decoded: &Submission,
 ) -> Reply {
-    let part = shared.part_of(job);
+    let part = shared.partition_of(job);
     if let Some(reply) = accepted(shared, caller, part, job) {
         return reply;
     }
@@ -127,7 +127,7 @@
     let head = Head {
         host: host.to_owned(),
         path: path.to_owned(),
-        at_ms: wall_ms(),
+        at_ms: unix_ms(),
         step: decoded.step,
         model: decoded.model.clone(),
         min_version: decoded.min_version,
@@ -239,8 +239,8 @@
             Read { part: Partition::at(JOBS, part), from, wait: Duration::ZERO, max_kb: None };
         match shared.reader.read(read).await {
             Ok(records) => {
-                shared.store_did(true);
-                shared.absorb(part, &records.records, 0);
+                shared.record_store_result(true);
+                shared.apply_records(part, &records.records, 0);
                 if shared.control.borrow().partitions[part].next >= records.end {
                     return true;
                 }
@@ -248,7 +248,7 @@
             // The follower starts over by itself.
             Err(StoreError::Trimmed(_)) => return false,
             Err(fault) => {
-                shared.store_did(false);
+                shared.record_store_result(false);
                 log::info!("catching up with {JOBS}/{part}: {fault}");
                 return false;
             }
@@ -269,7 +269,7 @@
     after: usize,
     hold: Duration,
 ) -> Reply {
-    let part = shared.part_of(job);
+    let part = shared.partition_of(job);
     let until = Instant::now() + hold;
     let listed = |shared: &Shared| {
         let control = shared.control.borrow();
@@ -286,7 +286,7 @@
     }
     let _waits = Waits::new(shared, part);
     loop {
-        let notified = shared.listed[part].notified();
+        let notified = shared.partition_changed[part].notified();
         let Some((len, due)) = listed(shared) else {
             return Reply::Missing;
         };
@@ -314,7 +314,7 @@
 
 impl Waits {
     fn new(shared: &Rc<Shared>, part: usize) -> Waits {
-        let readers = &shared.readers[part];
+        let readers = &shared.result_waiters[part];
         readers.set(readers.get() + 1);
         Waits { shared: shared.clone(), part }
     }
@@ -322,7 +322,7 @@
 
 impl Drop for Waits {
     fn drop(&mut self) {
-        let readers = &self.shared.readers[self.part];
+        let readers = &self.shared.result_waiters[self.part];
         readers.set(readers.get() - 1);
     }
 }
@@ -379,7 +379,7 @@
 
 /// The body of a sample that is not listed.
 pub async fn sample_body(shared: &Rc<Shared>, caller: &Caller, job: &str, sample: &str) -> Reply {
-    let part = shared.part_of(job);
+    let part = shared.partition_of(job);
     if !known(shared, part, job) && !catch_up(shared, part).await {
         return Reply::Unsure;
     }
@@ -407,7 +407,7 @@
     if !batch::is_id(job) {
         return Reply::Missing;
     }
-    let part = shared.part_of(job);
+    let part = shared.partition_of(job);
     let current = known(shared, part, job) || catch_up(shared, part).await;
     if known(shared, part, job) && !is_seen(shared, caller, part, job) {
         return Reply::Missing;
@@ -429,10 +429,10 @@
 /// Sends a finished sample's scoring request until it is scored or has
 /// failed for good.
 pub async fn score(shared: Rc<Shared>, slot: Slot) {
-    let part = shared.part_of(&slot.job);
+    let part = shared.partition_of(&slot.job);
     let (mut failures, mut tries) = (0, 0);
     loop {
-        let wanted = shared.control.borrow().wants(part, &slot);
+        let wanted = shared.control.borrow().is_sample_open(part, &slot);
         if !wanted {
             return;
         }
@@ -441,7 +441,7 @@
             continue;
         };
         let Some(scorer) = scorer else {
-            shared.tell(&Event::Scored(slot));
+            shared.handle_event(&Event::Scored(slot));
             return;
         };
         let plan = shared.control.borrow().configuration.clone();
@@ -477,7 +477,7 @@
                 if let Some(text) = shared.control.borrow_mut().partial_texts.get_mut(&slot) {
                     text.score = signature;
                 }
-                shared.tell(&Event::Scored(slot));
+                shared.handle_event(&Event::Scored(slot));
                 return;
             }
             Verdict::Answered(answer) => {
@@ -500,7 +500,7 @@
         }
         if failures >= most {
             log::info!("scoring {}/{} failed {failures} times", slot.job, slot.at);
-            shared.tell(&Event::Unscored(slot));
+            shared.handle_event(&Event::Unscored(slot));
             return;
         }
         sleep(pause).await;
--- a/crates/hollywell/src/entry/lease.rs
+++ b/crates/hollywell/src/entry/lease.rs
@@ -84,7 +84,7 @@
 
     /// Gives the lease up, if it is held.
     pub(super) async fn give_up(&self, shared: &Rc<Shared>) {
-        let released = self.tenure.borrow().release(&shared.me, shared.now());
+        let released = self.tenure.borrow().release(&shared.instance_id, shared.now());
         if let Some(claim) = released {
             self.append(shared, claim).await;
         }
@@ -123,12 +123,14 @@
         let read = Read { part: self.part.clone(), from, wait: RENEW, max_kb: None };
         match shared.reader.read(read).await {
             Ok(records) => {
-                shared.store_did(true);
+                shared.record_store_result(true);
                 let mut tenure = self.tenure.borrow_mut();
                 for record in &records.records {
                     let value = record.value.clone().unwrap_or_default();
                     match serde_json::from_slice::<Claim>(&value) {
-                        Ok(claim) => tenure.read(&shared.me, shared.now(), record.offset, &claim),
+                        Ok(claim) => {
+                            tenure.read(&shared.instance_id, shared.now(), record.offset, &claim)
+                        }
                         Err(error) => log::warn!("claim at {} skipped: {error}", record.offset),
                     }
                 }
@@ -136,7 +138,7 @@
             }
             Err(StoreError::Trimmed(first)) => self.tenure.borrow_mut().end = first,
             Err(fault) => {
-                shared.store_did(false);
+                shared.record_store_result(false);
                 log::info!("reading the lease of {}: {fault}", self.what);
                 sleep(RENEW).await;
             }
@@ -146,7 +148,13 @@
     async fn claim(&self, shared: &Rc<Shared>) {
         let claim = {
             let tenure = self.tenure.borrow();
-            tenure.claim(&shared.me, shared.now(), self.terms, rank(shared), self.wanted.get())
+            tenure.claim(
+                &shared.instance_id,
+                shared.now(),
+                self.terms,
+                rank(shared),
+                self.wanted.get(),
+            )
         };
         if let Some(claim) = claim {
             self.append(shared, claim).await;
@@ -182,5 +190,5 @@
 /// This instance's place among the candidates, so that challenges do not all
 /// come at once.
 fn rank(shared: &Shared) -> u64 {
-    xxhash_rust::xxh3::xxh3_64(shared.me.as_bytes()) % 8
+    xxhash_rust::xxh3::xxh3_64(shared.instance_id.as_bytes()) % 8
 }
--- a/crates/hollywell/src/entry/member.rs
+++ b/crates/hollywell/src/entry/member.rs
@@ -98,21 +98,21 @@
         }
         let join = Join {
             group: GROUP.to_owned(),
-            member: shared.me.clone(),
+            member: shared.instance_id.clone(),
             topics: (0..TOPICS).map(|n| format!("deal.{n}")).collect(),
             ttl,
             generation,
         };
         match (shared.store.join)(join).await {
             Ok(newest) => {
-                shared.store_did(true);
+                shared.record_store_result(true);
                 if newest != generation {
-                    shared.regrouped.notify_one();
+                    shared.group_changed.notify_one();
                 }
                 generation = newest;
             }
             Err(fault) => {
-                shared.store_did(false);
+                shared.record_store_result(false);
                 log::info!("staying in the group: {fault}");
             }
         }
@@ -129,7 +129,7 @@
 ///
 /// The store's [`StoreError`]; the member then ends by its time to live.
 pub async fn leave(shared: &Rc<Shared>) -> Result<(), StoreError> {
-    (shared.store.leave)((GROUP.to_owned(), shared.me.clone())).await
+    (shared.store.leave)((GROUP.to_owned(), shared.instance_id.clone())).await
 }
 
 /// Reads who is in the group: as often as it takes to notice by itself, and
@@ -144,13 +144,13 @@
         let asked_at = shared.now();
         match shared.reader.members(GROUP.to_owned()).await {
             Ok(listing) => {
-                shared.store_did(true);
+                shared.record_store_result(true);
                 failures = 0;
                 note(&shared, &listing);
                 take(&shared, &listing.members, asked_at);
             }
             Err(fault) => {
-                shared.store_did(false);
+                shared.record_store_result(false);
                 log::info!("reading the group: {fault}");
                 failures += 1;
                 shared.reader.pause(failures).await;
@@ -172,7 +172,7 @@
     sleep(LOOK_LEAST.mul_f64(crowd * rand::random_range(SPREAD))).await;
     if !is_unsettled {
         let rest = (LOOK - LOOK_LEAST).mul_f64(crowd);
-        let _either = timeout(rest, shared.regrouped.notified()).await;
+        let _either = timeout(rest, shared.group_changed.notified()).await;
     }
 }
 
@@ -286,7 +286,7 @@
     if let Some(members) = changed {
         shared.reader.shared_by(members.len());
         log::info!("{}", changes(&before, &members));
-        shared.tell(&Event::Members(members));
+        shared.handle_event(&Event::Members(members));
         shared.membership.changed.notify_waiters();
     }
 }
--- a/crates/hollywell/src/entry/news.rs
+++ b/crates/hollywell/src/entry/news.rs
@@ -78,7 +78,7 @@
                         room::trimmed(shared, part, usize::from(texts), before);
                     }
                     Ok(News::Accepted { part }) => {
-                        if let Some(accepted) = shared.accepted.get(part) {
+                        if let Some(accepted) = shared.job_accepted.get(part) {
                             accepted.notify_one();
                         }
                     }
@@ -86,7 +86,7 @@
                 }
             }
             if !records.records.is_empty() {
-                shared.tell(&Event::Tick);
+                shared.handle_event(&Event::Tick);
             }
         },
     )
--- a/crates/hollywell/src/entry/orders.rs
+++ b/crates/hollywell/src/entry/orders.rs
@@ -74,10 +74,10 @@
 /// Whether this instance competes for its failure domain's lease.
 fn is_candidate(shared: &Shared) -> bool {
     let control = shared.control.borrow();
-    let domain = roster::domain(&shared.me);
+    let domain = roster::domain(&shared.instance_id);
     let all = roster::candidates(control.roster.members(), domain, LEASES, CANDIDATES);
     // Before the members are known, everybody does.
-    all.is_empty() || all.contains(&shared.me.as_str())
+    all.is_empty() || all.contains(&shared.instance_id.as_str())
 }
 
 fn give(shared: &Rc<Shared>, office: &Rc<Office>, domain: &str) {
@@ -136,7 +136,7 @@
         let asked = VersionOrder {
             model: order.model.clone(),
             version: order.version,
-            holder: shared.me.clone(),
+            holder: shared.instance_id.clone(),
             fence,
             expected: report.orders,
         };
@@ -178,7 +178,7 @@
     if control.fleet.started(&order.target, report.born)
         && let Some(address) = control.fleet.targets.get(&order.target).map(|t| t.said.address)
     {
-        shared.restarted(control, &order.target, address);
+        shared.reset_target(control, &order.target, address);
     }
     let born = control.fleet.targets.get(&order.target).and_then(|target| target.said.born);
     for (model, version) in &report.versions {
--- a/crates/hollywell/src/entry/outbox.rs
+++ b/crates/hollywell/src/entry/outbox.rs
@@ -62,7 +62,7 @@
 
 /// Queues a sample's result for the store.
 pub fn deliver(shared: &Rc<Shared>, slot: &Slot, dead: bool) {
-    let part = shared.part_of(&slot.job);
+    let part = shared.partition_of(&slot.job);
     {
         let mut control = shared.control.borrow_mut();
         let text = control.partial_texts.remove(slot).unwrap_or_default();
@@ -112,7 +112,7 @@
         return Ok(());
     }
     let record = |entry: &&mut Entry| {
-        let key = batch::text_key(&entry.slot.job, &shared.unique(), &entry.outcome.id);
+        let key = batch::text_key(&entry.slot.job, &shared.unique_key_part(), &entry.outcome.id);
         (key, entry.text.clone().unwrap_or_default())
     };
     let keyed: Vec<(String, Bytes)> = waiting.iter().map(record).collect();
@@ -144,7 +144,7 @@
         // A key of its own for each append: if one key were appended twice,
         // the store would keep only the later offset, and with it another
         // position.
-        let (key, value) = batch::outcome_record(&slot.job, &shared.unique(), outcome);
+        let (key, value) = batch::outcome_record(&slot.job, &shared.unique_key_part(), outcome);
         records.push((Some(key), value));
     }
     let (at, purpose) = (Partition::at(JOBS, part), Use::Outcome);
@@ -238,8 +238,9 @@
     part: usize,
     grown: &[Grown],
 ) -> Result<Vec<Vec<TextRef>>, StoreError> {
-    let key =
-        |grown: &Grown| batch::partial_text_key(&grown.slot.job, &shared.unique(), &grown.sample);
+    let key = |grown: &Grown| {
+        batch::partial_text_key(&grown.slot.job, &shared.unique_key_part(), &grown.sample)
+    };
     let keys: Vec<String> = grown.iter().map(key).collect();
     let records = keys.iter().zip(grown);
     let records = records.map(|(key, grown)| (Some(key.clone()), grown.piece.clone())).collect();
@@ -276,11 +277,11 @@
     let mut grown = Vec::new();
     let mut bytes = 0;
     for (slot, text) in &control.partial_texts {
-        if shared.part_of(&slot.job) != part || text.last < text.saved + least {
+        if shared.partition_of(&slot.job) != part || text.last < text.saved + least {
             continue;
         }
         let job = control.partitions[part].index.jobs.get(&slot.job);
-        let Some(job) = job.filter(|_| control.wants(part, slot)) else {
+        let Some(job) = job.filter(|_| control.is_sample_open(part, slot)) else {
             continue;
         };
         let piece = &text.data.as_bytes()[text.kept_bytes..];
--- a/crates/hollywell/src/entry/peers.rs
+++ b/crates/hollywell/src/entry/peers.rs
@@ -84,7 +84,7 @@
 /// Some of the other members of the group, so many at most.
 pub(super) fn some(shared: &Shared, most: usize) -> Vec<String> {
     let control = shared.control.borrow();
-    let others = control.roster.members().iter().filter(|member| **member != shared.me);
+    let others = control.roster.members().iter().filter(|member| **member != shared.instance_id);
     let others: Vec<&String> = others.collect();
     others.choose_multiple(&mut rand::rng(), most).map(|peer| (*peer).clone()).collect()
 }
--- a/crates/hollywell/src/entry/plans.rs
+++ b/crates/hollywell/src/entry/plans.rs
@@ -101,7 +101,7 @@
 pub(super) fn current(shared: &Shared, at: Time) {
     let mut control = shared.control.borrow_mut();
     control.configuration_read_at = control.configuration_read_at.max(Some(at));
-    shared.configured.notify_waiters();
+    shared.configuration_read.notify_waiters();
 }
 
 /// How old what is known of the configuration is, in milliseconds.
@@ -149,7 +149,7 @@
             if version >= word.version {
                 current(&shared, known_at);
             }
-            shared.open_waiting();
+            shared.open_waiting_jobs();
         }
         Err(why) => log::info!("asking {peer} for the configuration: {why}"),
     }
--- a/crates/hollywell/src/entry/relay.rs
+++ b/crates/hollywell/src/entry/relay.rs
@@ -139,7 +139,7 @@
 /// Keeps a partition's newest records, so old by now, for others of the
 /// failure domain.
 pub fn keep(shared: &Shared, part: &Partition, read: &Records, age_ms: u64) {
-    if relay::is_used(shared.control.borrow().roster.members(), &shared.me) {
+    if relay::is_used(shared.control.borrow().roster.members(), &shared.instance_id) {
         let body = Bytes::from(Snapshot::new(read).encode_to_vec());
         let kept = Kept { body, age_ms, kept_at: shared.now() };
         shared.relay.kept.borrow_mut().insert(part.clone(), kept);
@@ -154,14 +154,14 @@
     know_members(shared).await;
     let depth = {
         let control = shared.control.borrow();
-        relay::depth(control.roster.members(), &shared.me)
+        relay::depth(control.roster.members(), &shared.instance_id)
     };
     let until = Instant::now() + PATIENCE * depth;
     while Instant::now() < until {
         // Asked each time: the members may be another's by now.
         let parent = {
             let control = shared.control.borrow();
-            relay::parent(control.roster.members(), &shared.me).map(str::to_owned)
+            relay::parent(control.roster.members(), &shared.instance_id).map(str::to_owned)
         }?;
         match ask_once(shared, part, &parent).await {
             Ok(Some((records, age_ms))) => {
@@ -267,6 +267,6 @@
 fn named(shared: &Shared, path: &str) -> Option<Partition> {
     let (topic, number) = path.strip_prefix(PATH)?.rsplit_once('/')?;
     let part = Partition::new(topic, number.parse().ok()?);
-    let parts = if topic == JOBS { shared.listed.len() } else { 1 };
+    let parts = if topic == JOBS { shared.partition_changed.len() } else { 1 };
     (is_relayed(shared, &part) && (part.number as usize) < parts).then_some(part)
 }
--- a/crates/hollywell/src/entry/room.rs
+++ b/crates/hollywell/src/entry/room.rs
@@ -14,7 +14,7 @@
     },
     entry::{
         news::{self, News},
-        shared::{JOBS, Shared, TEXTS, wall_ms},
+        shared::{JOBS, Shared, TEXTS, unix_ms},
         store::{Partition, Read},
     },
 };
@@ -42,7 +42,7 @@
         sleep(LOOK).await;
         let _ratio = look(&shared);
         tell(&shared, &mut tight);
-        for part in 0..shared.listed.len() {
+        for part in 0..shared.partition_changed.len() {
             trim(&shared, part).await;
         }
     }
@@ -121,7 +121,7 @@
 /// In how many milliseconds the records of a job will be dropped next.
 fn next_drop_ms(shared: &Shared) -> Option<u64> {
     let kept_ms = shared.settings.times.status_ms().saturating_add(CLOCKS_APART_MS);
-    let now_ms = wall_ms();
+    let now_ms = unix_ms();
     let control = shared.control.borrow();
     let jobs = control.partitions.iter().flat_map(|partition| partition.index.jobs.values());
     let left = |at_ms: u64| kept_ms.saturating_sub(now_ms.saturating_sub(at_ms));
@@ -161,7 +161,7 @@
     // their keys as well.
     let young_ms = if at == 0 { room::LEAST_MS } else { FULL_TEXTS_MS };
     let log = &control.partitions[part].logs[at];
-    let mine = owner(members, &format!("trim {part}"), "") == Some(shared.me.as_str());
+    let mine = owner(members, &format!("trim {part}"), "") == Some(shared.instance_id.as_str());
     let late = log.bytes(0) > most + most / 2;
     let lucky = (full || late) && rand::random_bool((HELPERS / members.len() as f64).min(1.0));
     let before = log.cut(now, most, full.then_some(young_ms))?;
--- a/crates/hollywell/src/entry/run.rs
+++ b/crates/hollywell/src/entry/run.rs
@@ -72,7 +72,7 @@
     let Some(said) = said else {
         let shared = shared.clone();
         tokio::task::spawn_local(async move {
-            shared.tell(&Event::Ended { run, end: End::Misdirected });
+            shared.handle_event(&Event::Ended { run, end: End::Misdirected });
         });
         return;
     };
@@ -86,7 +86,7 @@
             log::debug!("sample {job}/{at} at {id}: {end:?}, {} events", events());
             shared.meters.runs.with_label_values(&[&format!("{end:?}")]).inc();
             shared.control.borrow_mut().runs.remove(&run);
-            shared.tell(&Event::Ended { run, end });
+            shared.handle_event(&Event::Ended { run, end });
         }
     });
     shared.control.borrow_mut().runs.insert(run, task.abort_handle());
@@ -95,7 +95,7 @@
 /// Takes over the text that another instance, or an earlier run of this one,
 /// left in the store, where it goes further than what is known here.
 async fn recall(shared: &Rc<Shared>, slot: &Slot) {
-    let part = shared.part_of(&slot.job);
+    let part = shared.partition_of(&slot.job);
     let Some(partial) = kept(shared, part, slot) else {
         return;
     };
@@ -180,7 +180,7 @@
 /// What a sample has in common with the same sample of another job.
 fn digest(shared: &Shared, slot: &Slot, sample: &Sample) -> Digest {
     let control = shared.control.borrow();
-    let job = control.partitions[shared.part_of(&slot.job)].index.jobs.get(&slot.job);
+    let job = control.partitions[shared.partition_of(&slot.job)].index.jobs.get(&slot.job);
     let (host, organisation) = job.map_or(("", ""), |job| (&job.head.host, &job.head.organisation));
     Digest::of(&["POST", host, &sample.path, organisation], &sample.body)
 }
@@ -193,7 +193,7 @@
     digest: Digest,
     request: Request<Full<Bytes>>,
 ) -> End {
-    let wanted = || shared.may_send(slot) && shared.may_reach(target);
+    let wanted = || shared.may_send(slot) && shared.may_send_to(target);
     let sent = shared.pool.send_if(target.address, request, RUN_LIMIT, wanted).await;
     let answer = match sent {
         Ok(answer) => answer,
@@ -230,7 +230,7 @@
     priority: u8,
 ) -> Option<Request<Full<Bytes>>> {
     let control = shared.control.borrow();
-    let job = control.partitions[shared.part_of(&slot.job)].index.jobs.get(&slot.job)?;
+    let job = control.partitions[shared.partition_of(&slot.job)].index.jobs.get(&slot.job)?;
     let headers = &shared.dialect.headers;
     let mut request = Request::post(sample.path.as_str())
         .header(http::header::HOST, job.head.host.as_str())
@@ -301,7 +301,7 @@
             text.take(&piece, version);
         }
         suspects::served(self.shared, || self.digest);
-        self.shared.tell(&Event::Piece { run: self.run });
+        self.shared.handle_event(&Event::Piece { run: self.run });
         Ok(())
     }
 }
@@ -316,7 +316,8 @@
 ) -> End {
     let context = {
         let control = shared.control.borrow();
-        let Some(job) = control.partitions[shared.part_of(&slot.job)].index.jobs.get(&slot.job)
+        let Some(job) =
+            control.partitions[shared.partition_of(&slot.job)].index.jobs.get(&slot.job)
         else {
             return End::Broken;
         };
@@ -345,7 +346,7 @@
     if version.is_some_and(|version| version < context.min_version) {
         return Err(End::WrongVersion);
     }
-    context.shared.tell(&Event::Head { run: context.run });
+    context.shared.handle_event(&Event::Head { run: context.run });
     let mut cutter = Cutter::default();
     while let Some(data) = answer.chunk().await.map_err(|error| context.broken(&error))? {
         cutter.push(&data);
--- a/crates/hollywell/src/entry/samples.rs
+++ b/crates/hollywell/src/entry/samples.rs
@@ -27,7 +27,7 @@
 
 /// A sample's request, read from the store if it is not known.
 pub async fn get(shared: &Rc<Shared>, slot: &Slot) -> Option<Sample> {
-    let part = shared.part_of(&slot.job);
+    let part = shared.partition_of(&slot.job);
     let (bundle, at, text) = {
         let control = shared.control.borrow();
         let head = &control.partitions[part].index.jobs.get(&slot.job)?.head;
@@ -78,11 +78,11 @@
     job: &str,
     submission: &Submission,
 ) -> Result<(Vec<Brief>, Vec<TextRef>), StoreError> {
-    let part = shared.part_of(job);
+    let part = shared.partition_of(job);
     let store = &shared.settings.store;
     let (briefs, bundles) = batch::bundle(submission, store.record_bytes / 2);
     let keys: Vec<String> =
-        bundles.iter().map(|_| batch::bundle_key(job, &shared.unique())).collect();
+        bundles.iter().map(|_| batch::bundle_key(job, &shared.unique_key_part())).collect();
     // Should the caller leave, or the job be refused, nothing names them.
     shared.orphans.requests(shared.now(), part, job, keys.iter().cloned());
     let part = u32::try_from(part).unwrap_or_default();
--- a/crates/hollywell/src/entry/serve.rs
+++ b/crates/hollywell/src/entry/serve.rs
@@ -86,7 +86,7 @@
 }
 
 fn share(adapter: &Adapter, settings: Settings) -> prometheus::Result<Rc<Shared>> {
-    let incarnation = crate::entry::shared::wall_ms();
+    let incarnation = crate::entry::shared::unix_ms();
     let domain = settings.domains.iter().position(|name| *name == settings.domain);
     let link = Some(settings.link_mbps).filter(|mbps| *mbps > 0);
     let link = link.map(|mbps| format!("*{mbps}")).unwrap_or_default();
@@ -128,21 +128,21 @@
         store,
         pool,
         clock: Clock::start(),
-        me,
-        writer,
-        written: Cell::new(0),
+        instance_id: me,
+        writer_id: writer,
+        keys_issued: Cell::new(0),
         control: RefCell::new(control),
-        configured: Notify::new(),
-        regrouped: Notify::new(),
+        configuration_read: Notify::new(),
+        group_changed: Notify::new(),
         membership: member::Membership::default(),
-        accepted: (0..parts).map(|_| Notify::new()).collect(),
-        readers: (0..parts).map(|_| Cell::new(0)).collect(),
-        listed: (0..parts).map(|_| Notify::new()).collect(),
+        job_accepted: (0..parts).map(|_| Notify::new()).collect(),
+        result_waiters: (0..parts).map(|_| Cell::new(0)).collect(),
+        partition_changed: (0..parts).map(|_| Notify::new()).collect(),
         outbox: (0..parts).map(|_| outbox::Outbox::default()).collect(),
         text_cache: Texts::default(),
-        turns: RefCell::default(),
+        probe_permits: RefCell::default(),
         usage: usage::Usage::default(),
-        unsaved: suspects::Unsaved::default(),
+        unsaved_suspects: suspects::UnsavedSuspects::default(),
         orphans: clean::Orphans::default(),
         stop: watch::channel(false).0,
         settings,
@@ -160,7 +160,12 @@
     let ready = TcpListener::bind(settings.ready_listen).await?;
     let metrics = TcpListener::bind(settings.metrics_listen).await?;
     let peer_listener = TcpListener::bind(settings.peer_listen).await?;
-    log::info!("{} listens on {}, settings {}", shared.me, settings.listen, path.display());
+    log::info!(
+        "{} listens on {}, settings {}",
+        shared.instance_id,
+        settings.listen,
+        path.display()
+    );
     let open = Rc::new(ingress::Open::default());
     let spawn = tokio::task::spawn_local::<std::pin::Pin<Box<dyn Future<Output = ()>>>>;
     // In the order in which they are read from the store at a start: what is
@@ -171,7 +176,7 @@
     spawn(Box::pin(news::serve(shared.clone())));
     spawn(Box::pin(suspects::serve(shared.clone())));
     spawn(Box::pin(suspects::save(shared.clone())));
-    for part in 0..shared.listed.len() {
+    for part in 0..shared.partition_changed.len() {
         spawn(Box::pin(follow::jobs(shared.clone(), part)));
     }
     spawn(Box::pin(member::stay(shared.clone())));
@@ -224,7 +229,7 @@
         tokio::time::sleep(TICK).await;
         let now = shared.now();
         shared.control.borrow_mut().fleet.expire(now);
-        shared.tell(&dispatch::Event::Tick);
+        shared.handle_event(&dispatch::Event::Tick);
         if swept.elapsed() > SWEEP {
             swept = tokio::time::Instant::now();
             shared.pool.sweep();
--- a/crates/hollywell/src/entry/shared.rs
+++ b/crates/hollywell/src/entry/shared.rs
@@ -159,7 +159,7 @@
     /// Whether a sample, whose job lies in a partition, is still to be
     /// listed: its job is there, and no end of it was read or asked for.
     #[must_use]
-    pub fn wants(&self, part: usize, slot: &Slot) -> bool {
+    pub fn is_sample_open(&self, part: usize, slot: &Slot) -> bool {
         let job = self.partitions[part].index.jobs.get(&slot.job);
         let open = job.is_some_and(|job| !job.ended && !job.done[slot.at]);
         open && !self.ending.holds(&slot.job)
@@ -210,35 +210,35 @@
     /// The process's clock.
     pub clock: Clock,
     /// This run of the instance, as others name it.
-    pub me: String,
+    pub instance_id: String,
     /// Tells incarnations apart in keys.
-    pub writer: String,
+    pub writer_id: String,
     /// Counter for keys.
-    pub written: Cell<u64>,
+    pub keys_issued: Cell<u64>,
     /// What is counted and timed.
     pub meters: Meters,
     /// Mutable state.
     pub control: RefCell<Control>,
     /// Told when the operator's topic was read, here or by a peer.
-    pub configured: Notify,
+    pub configuration_read: Notify,
     /// Told when the group of instances changed.
-    pub regrouped: Notify,
+    pub group_changed: Notify,
     /// What others are told of the group.
     pub membership: member::Membership,
     /// Told when a job was accepted in a partition of jobs.
-    pub accepted: Vec<Notify>,
+    pub job_accepted: Vec<Notify>,
     /// Callers that wait here for results of a partition.
-    pub readers: Vec<Cell<usize>>,
+    pub result_waiters: Vec<Cell<usize>>,
     /// Told when a partition of jobs changed.
-    pub listed: Vec<Notify>,
+    pub partition_changed: Vec<Notify>,
     /// Results on their way to the store, by partition.
     pub outbox: Vec<outbox::Outbox>,
     /// Whole texts that were read or written lately.
     pub text_cache: Texts,
     /// What is known against requests and not in the store yet.
-    pub unsaved: suspects::Unsaved,
+    pub unsaved_suspects: suspects::UnsavedSuspects,
     /// Turns to try suspects that this instance gives out.
-    pub turns: RefCell<Turns>,
+    pub probe_permits: RefCell<Turns>,
     /// What is counted here of organisations' requests.
     pub usage: usage::Usage,
     /// Records that nothing may name.
@@ -256,20 +256,20 @@
 
     /// The partition of a job.
     #[must_use]
-    pub fn part_of(&self, job: &str) -> usize {
+    pub fn partition_of(&self, job: &str) -> usize {
         let parts = u64::from(JOB_PARTS.min(self.settings.store.parts).max(1));
         usize::try_from(xxhash_rust::xxh3::xxh3_64(job.as_bytes()) % parts).unwrap_or_default()
     }
 
     /// A key part that no other record has.
     #[must_use]
-    pub fn unique(&self) -> String {
-        self.written.set(self.written.get() + 1);
-        format!("{}.{}", self.writer, self.written.get())
+    pub fn unique_key_part(&self) -> String {
+        self.keys_issued.set(self.keys_issued.get() + 1);
+        format!("{}.{}", self.writer_id, self.keys_issued.get())
     }
 
     /// Notes whether a call of the store went well.
-    pub fn store_did(&self, well: bool) {
+    pub fn record_store_result(&self, well: bool) {
         self.meters.store.with_label_values(&[if well { "yes" } else { "no" }]).inc();
         let now = self.now();
         let mut control = self.control.borrow_mut();
@@ -307,7 +307,7 @@
         }
         let appended = (self.store.append)(append).await;
         // A store that is full, or has another end, is there all the same.
-        self.store_did(matches!(
+        self.record_store_result(matches!(
             appended,
             Ok(_) | Err(StoreError::Full | StoreError::EndMismatch(_))
         ));
@@ -331,14 +331,14 @@
     /// Forgets what was believed of a target that has started again, which
     /// was at an address before: what was seen of it, and its connections. Its
     /// runs are moved by the reducer.
-    pub fn restarted(&self, control: &mut Control, id: &str, address: std::net::SocketAddr) {
+    pub fn reset_target(&self, control: &mut Control, id: &str, address: std::net::SocketAddr) {
         log::info!("target {id}, at {address}, has started again");
         control.observations.forget(id);
         self.pool.forget(address);
     }
 
     /// Takes an event in and carries its effects out.
-    pub fn tell(self: &Rc<Shared>, event: &Event) {
+    pub fn handle_event(self: &Rc<Shared>, event: &Event) {
         let now = self.now();
         let effects = {
             let control = &mut *self.control.borrow_mut();
@@ -360,11 +360,11 @@
             effects
         };
         for effect in effects {
-            self.carry_out(effect);
+            self.apply_effect(effect);
         }
     }
 
-    fn carry_out(self: &Rc<Shared>, effect: Effect) {
+    fn apply_effect(self: &Rc<Shared>, effect: Effect) {
         match effect {
             Effect::Start { run, slot, target, priority } => {
                 run::start(self, run, slot, &target, priority);
@@ -391,7 +391,7 @@
     }
 
     /// Counts what was read of a log that is not of jobs: it takes room too.
-    pub fn read_of(&self, part: &Partition, read: &Records) {
+    pub fn account_for_read(&self, part: &Partition, read: &Records) {
         let bytes = |record: &Record| {
             (record.key.len() + record.value.as_ref().map_or(0, Bytes::len)) as u64
                 + room::LOG_OVERHEAD
@@ -404,7 +404,7 @@
     }
 
     /// Folds records of a partition of jobs, skipping those folded before.
-    pub fn absorb(self: &Rc<Shared>, part: usize, records: &[Record], end: u64) {
+    pub fn apply_records(self: &Rc<Shared>, part: usize, records: &[Record], end: u64) {
         let mut changes = Vec::new();
         let now = self.now();
         {
@@ -421,14 +421,14 @@
             partition.note(now);
         }
         for change in changes {
-            self.changed(part, change);
+            self.apply_change(part, change);
         }
-        self.listed[part].notify_waiters();
+        self.partition_changed[part].notify_waiters();
     }
 
     /// Drops jobs that are not among the newest records: theirs were dropped
     /// while this instance could not read, and the log that told so is gone.
-    pub fn drop_missing(self: &Rc<Shared>, part: usize, newest: &Records) {
+    pub fn remove_missing_jobs(self: &Rc<Shared>, part: usize, newest: &Records) {
         let read = newest.records.iter().map(|record| record.key.as_str());
         let keys: HashSet<&str> = read.chain(newest.beyond.iter().map(String::as_str)).collect();
         let dropped = {
@@ -437,18 +437,18 @@
         };
         for job in dropped {
             log::info!("job {job} was dropped while nothing was read here");
-            self.changed(part, Change::Dropped(job));
+            self.apply_change(part, Change::Dropped(job));
         }
     }
 
-    fn changed(self: &Rc<Shared>, part: usize, change: Change) {
+    fn apply_change(self: &Rc<Shared>, part: usize, change: Change) {
         match change {
-            Change::Opened(job) => self.open(part, job),
+            Change::Opened(job) => self.open_job(part, job),
             Change::Skipped(skip) => log::warn!("{skip}"),
-            Change::Listed(job, at) => self.tell(&Event::Listed(Slot { job, at })),
-            Change::Grown(job, at) => self.grown(part, Slot { job, at }),
+            Change::Listed(job, at) => self.handle_event(&Event::Listed(Slot { job, at })),
+            Change::Grown(job, at) => self.partial_text_grew(part, Slot { job, at }),
             Change::Ended(job) | Change::Dropped(job) => {
-                self.close(&job);
+                self.close_job(&job);
                 ends::tell(self, &ending::Event::Settled(job));
             }
         }
@@ -461,30 +461,30 @@
     pub fn may_send(&self, slot: &Slot) -> bool {
         let now = self.now();
         let control = self.control.borrow();
-        let part = self.part_of(&slot.job);
-        control.wants(part, slot) && !control.is_stale(now, part)
+        let part = self.partition_of(&slot.job);
+        control.is_sample_open(part, slot) && !control.is_stale(now, part)
     }
 
     /// Whether a target's failure domain may get something new. It is asked
     /// last before a send, as [`Shared::may_send`] is.
     #[must_use]
-    pub fn may_reach(&self, target: &Announcement) -> bool {
+    pub fn may_send_to(&self, target: &Announcement) -> bool {
         !self.control.borrow().fleet.evacuated().contains(&target.domain)
     }
 
     /// Runs nothing more of a job, and forgets what only its runs need.
-    pub fn close(self: &Rc<Shared>, job: &str) {
+    pub fn close_job(self: &Rc<Shared>, job: &str) {
         {
             let mut control = self.control.borrow_mut();
             control.unopened_jobs.retain(|other| other != job);
             control.bundles.retain(|(other, _), _| other != job);
         }
-        self.tell(&Event::Closed(job.to_owned()));
+        self.handle_event(&Event::Closed(job.to_owned()));
     }
 
     /// Tells the reducer how far a sample's kept text goes, where that is
     /// further than this instance's own.
-    fn grown(self: &Rc<Shared>, part: usize, slot: Slot) {
+    fn partial_text_grew(self: &Rc<Shared>, part: usize, slot: Slot) {
         let kept = {
             let control = self.control.borrow();
             let Some(own) = control.partial_texts.get(&slot).map(|text| text.last) else {
@@ -495,13 +495,13 @@
             kept.map(|kept| kept.last).filter(|last| *last > own)
         };
         if let Some(last) = kept.and_then(|last| u32::try_from(last).ok()) {
-            self.tell(&Event::Ahead { slot, last });
+            self.handle_event(&Event::Ahead { slot, last });
         }
     }
 
     /// Hands a job to the reducer, or keeps it until a configuration with
     /// its route is read.
-    pub fn open(self: &Rc<Shared>, part: usize, id: String) {
+    pub fn open_job(self: &Rc<Shared>, part: usize, id: String) {
         let work = {
             let mut control = self.control.borrow_mut();
             let Some(job) = control.partitions[part].index.jobs.get(&id) else {
@@ -516,7 +516,7 @@
                 control.unopened_jobs.push(id);
                 return;
             };
-            let keep_ms = batch::keep_for(route.keep_ms, job.head.at_ms, wall_ms());
+            let keep_ms = batch::keep_for(route.keep_ms, job.head.at_ms, unix_ms());
             let head = job.head.clone();
             let mut work = Work {
                 job: id,
@@ -535,21 +535,21 @@
             work
         };
         log::debug!("job {} opened: {} samples", work.job, work.samples.len());
-        self.tell(&Event::Opened(work));
+        self.handle_event(&Event::Opened(work));
     }
 
     /// Tries again to open jobs whose route was not known.
-    pub fn open_waiting(self: &Rc<Shared>) {
+    pub fn open_waiting_jobs(self: &Rc<Shared>) {
         let waiting = std::mem::take(&mut self.control.borrow_mut().unopened_jobs);
         for job in waiting {
-            self.open(self.part_of(&job), job);
+            self.open_job(self.partition_of(&job), job);
         }
     }
 }
 
 /// Time of day, in milliseconds since 1970.
 #[must_use]
-pub fn wall_ms() -> u64 {
+pub fn unix_ms() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     u64::try_from(since.as_millis()).unwrap_or(u64::MAX)
 }
--- a/crates/hollywell/src/entry/suspects.rs
+++ b/crates/hollywell/src/entry/suspects.rs
@@ -20,7 +20,7 @@
     },
     entry::{
         follow, peers,
-        shared::{Control, Shared, wall_ms},
+        shared::{Control, Shared, unix_ms},
         store::{Append, Partition, StoreError},
     },
 };
@@ -82,12 +82,12 @@
 
 /// What others are still to be told.
 #[derive(Debug, Default)]
-pub struct Unsaved {
+pub struct UnsavedSuspects {
     digests: RefCell<BTreeSet<Digest>>,
     changed: Notify,
 }
 
-impl Unsaved {
+impl UnsavedSuspects {
     fn add(&self, digest: Digest) {
         self.digests.borrow_mut().insert(digest);
         self.changed.notify_one();
@@ -111,7 +111,7 @@
     if control.poison.is_empty() {
         return Verdict::Free;
     }
-    control.poison.verdict(wall_ms(), digest())
+    control.poison.verdict(unix_ms(), digest())
 }
 
 /// Where a suspect may be tried.
@@ -126,7 +126,7 @@
 /// Where a suspect may be tried among a pool's targets.
 pub fn trial(shared: &Shared, pool: &str, digest: Digest) -> Trial {
     let (now, control) = (shared.now(), shared.control.borrow());
-    let since_ms = control.poison.since_end_ms(wall_ms(), digest).unwrap_or(u64::MAX);
+    let since_ms = control.poison.since_end_ms(unix_ms(), digest).unwrap_or(u64::MAX);
     let id = poison::trial(&sound(&control, now, pool), since_ms);
     match id.and_then(|id| control.fleet.targets.get(id)) {
         Some(target) => Trial::At(Box::new(target.said.clone())),
@@ -143,7 +143,7 @@
 /// Whether a suspect's last end is so long ago that it is alone where it is
 /// tried.
 pub fn is_settled(shared: &Shared, digest: Digest) -> bool {
-    let since_ms = shared.control.borrow().poison.since_end_ms(wall_ms(), digest);
+    let since_ms = shared.control.borrow().poison.since_end_ms(unix_ms(), digest);
     since_ms.is_none_or(|since_ms| since_ms >= poison::SETTLE_MS)
 }
 
@@ -151,7 +151,7 @@
 /// tried soon.
 pub fn reserved(shared: &Shared, pool: &str) -> Option<String> {
     let (now, control) = (shared.now(), shared.control.borrow());
-    if !control.poison.is_trying(wall_ms()) {
+    if !control.poison.is_trying(unix_ms()) {
         return None;
     }
     poison::trial(&sound(&control, now, pool), 0).map(str::to_owned)
@@ -182,7 +182,7 @@
         if self.ends_by_itself {
             return;
         }
-        self.shared.turns.borrow_mut().give_back(&self.subject, &self.asked.who);
+        self.shared.probe_permits.borrow_mut().give_back(&self.subject, &self.asked.who);
         let Some(keeper) = self.keeper.take() else {
             return;
         };
@@ -201,12 +201,12 @@
         let control = shared.control.borrow();
         dispatch::owner(control.roster.members(), TURN_PATH, pool).map(str::to_owned)
     }?;
-    let keeper = Some(keeper).filter(|keeper| *keeper != shared.me);
+    let keeper = Some(keeper).filter(|keeper| *keeper != shared.instance_id);
     // An instance asks for one at a time, however many suspects wait here.
     let subject = if keeper.is_some() { format!("here/{pool}") } else { pool.to_owned() };
-    let asked = Asked { pool: pool.to_owned(), who: shared.unique(), is_over: false };
+    let asked = Asked { pool: pool.to_owned(), who: shared.unique_key_part(), is_over: false };
     let now = shared.now();
-    if !shared.turns.borrow_mut().take(now, &subject, &asked.who) {
+    if !shared.probe_permits.borrow_mut().take(now, &subject, &asked.who) {
         return None;
     }
     let word = Bytes::from(asked.encode_to_vec());
@@ -225,7 +225,7 @@
         Ok(asked) => asked,
         Err(status) => return peers::nothing(status),
     };
-    let (now, mut turns) = (shared.now(), shared.turns.borrow_mut());
+    let (now, mut turns) = (shared.now(), shared.probe_permits.borrow_mut());
     if is_over {
         turns.give_back(&pool, &who);
         return peers::nothing(StatusCode::OK);
@@ -250,15 +250,15 @@
     let (is_news, verdict) = {
         let mut control = shared.control.borrow_mut();
         let is_news = match is_alone {
-            true => control.poison.ended_alone(wall_ms(), digest, &life),
-            false => control.poison.ended(wall_ms(), digest, &life),
+            true => control.poison.ended_alone(unix_ms(), digest, &life),
+            false => control.poison.ended(unix_ms(), digest, &life),
         };
-        (is_news, control.poison.verdict(wall_ms(), digest))
+        (is_news, control.poison.verdict(unix_ms(), digest))
     };
     shared.meters.targets_ended.inc();
     log::info!("target {life} has ended while {digest} was there: {verdict:?}");
     if is_news {
-        shared.unsaved.add(digest);
+        shared.unsaved_suspects.add(digest);
     }
     true
 }
@@ -275,7 +275,7 @@
     };
     if let Some(digest) = known {
         log::info!("{digest} was served: nothing is held against it");
-        shared.unsaved.add(digest);
+        shared.unsaved_suspects.add(digest);
     }
 }
 
@@ -283,12 +283,12 @@
 /// store.
 pub fn expire(shared: &Shared) {
     let mut control = shared.control.borrow_mut();
-    let over = control.poison.expire(wall_ms());
+    let over = control.poison.expire(unix_ms());
     let members = control.roster.members();
     let is_mine = |digest: &&Digest| {
-        dispatch::owner(members, &digest.to_string(), "") == Some(shared.me.as_str())
+        dispatch::owner(members, &digest.to_string(), "") == Some(shared.instance_id.as_str())
     };
-    over.iter().filter(is_mine).for_each(|digest| shared.unsaved.add(*digest));
+    over.iter().filter(is_mine).for_each(|digest| shared.unsaved_suspects.add(*digest));
 }
 
 /// Brings what is known here to the store until the instance stops, and to
@@ -296,9 +296,9 @@
 pub async fn save(shared: Rc<Shared>) {
     let mut pause = RETRY;
     loop {
-        let digests = shared.unsaved.take();
+        let digests = shared.unsaved_suspects.take();
         if digests.is_empty() {
-            shared.unsaved.changed.notified().await;
+            shared.unsaved_suspects.changed.notified().await;
             continue;
         }
         let said = said(&shared, &digests);
@@ -307,10 +307,10 @@
             Err(fault) => {
                 log::info!("{} suspects are kept for another append: {fault}", said.len());
                 tell_all(&shared, &said);
-                shared.unsaved.put_back(digests);
+                shared.unsaved_suspects.put_back(digests);
                 // What becomes known meanwhile does not wait: peers must know
                 // it however long the store has been away.
-                let _woken = timeout(pause, shared.unsaved.changed.notified()).await;
+                let _woken = timeout(pause, shared.unsaved_suspects.changed.notified()).await;
                 pause = (pause * 2).min(RETRY_MOST);
             }
         }
@@ -336,7 +336,7 @@
 fn tell_all(shared: &Rc<Shared>, said: &[Said]) {
     let word = Bytes::from(Word { records: said.to_vec() }.encode_to_vec());
     let members = shared.control.borrow().roster.members().to_vec();
-    for member in members.into_iter().filter(|member| *member != shared.me) {
+    for member in members.into_iter().filter(|member| *member != shared.instance_id) {
         tokio::task::spawn_local(tell(shared.clone(), member, word.clone()));
     }
 }
@@ -365,7 +365,7 @@
             control.poison.served(digest);
             return Ok(());
         }
-        control.poison.read(wall_ms(), digest, record)
+        control.poison.read(unix_ms(), digest, record)
     });
     if let Err(error) = taken {
         shared.meters.suspects_skipped.inc();
--- a/crates/hollywell/src/entry/usage.rs
+++ b/crates/hollywell/src/entry/usage.rs
@@ -19,7 +19,7 @@
     },
     entry::{
         peers,
-        shared::{Shared, wall_ms},
+        shared::{Shared, unix_ms},
         store::{Append, Partition, StoreError},
     },
 };
@@ -72,7 +72,7 @@
 
 /// The true time of day, in milliseconds since 1970, as far as it is known.
 pub(super) fn day_ms(shared: &Shared) -> u64 {
-    shared.usage.day.borrow_mut().read(shared.now(), wall_ms())
+    shared.usage.day.borrow_mut().read(shared.now(), unix_ms())
 }
 
 /// Counts a request of an organisation that begins now; its window, if it is
@@ -99,7 +99,7 @@
         shared.usage.changed.notified().await;
         let members = shared.control.borrow().roster.members().len() as f64;
         sleep(GATHER.mul_f64((members / GATHER_MEMBERS).max(1.0))).await;
-        let own = shared.usage.tally.borrow_mut().take(&shared.writer);
+        let own = shared.usage.tally.borrow_mut().take(&shared.writer_id);
         let carried = std::mem::take(&mut *shared.usage.carried.borrow_mut());
         if own.is_empty() && carried.is_empty() {
             continue;
@@ -158,7 +158,7 @@
         let mut carried = shared.usage.carried.borrow_mut();
         for Said { key, value } in records {
             if carried.len() < MOST_CARRIED {
-                carried.insert(usage::carried_key(&key, &shared.writer), value);
+                carried.insert(usage::carried_key(&key, &shared.writer_id), value);
             }
         }
     }
