--- a/crates/hollywell/src/entry/room.rs
+++ b/crates/hollywell/src/entry/capacity.rs
@@ -13,7 +13,7 @@
         room::{self, LIVE_OVERHEAD, LOG_OVERHEAD, Use},
     },
     entry::{
-        news::{self, News},
+        hints::{self, News},
         shared::{JOBS, Shared, TEXTS, unix_ms},
         store::{Partition, Read},
     },
@@ -142,7 +142,7 @@
             Ok(()) => {
                 log::info!("{topic}/{part} trimmed before {before}");
                 trimmed(shared, part, at, before);
-                news::tell(shared, &News::Trimmed { part, texts: topic == TEXTS, before }).await;
+                hints::tell(shared, &News::Trimmed { part, texts: topic == TEXTS, before }).await;
             }
             Err(fault) => log::info!("{topic}/{part} is not trimmed yet: {fault}"),
         }
--- a/crates/hollywell/src/entry/news.rs
+++ b/crates/hollywell/src/entry/hints.rs
@@ -11,7 +11,7 @@
 use crate::{
     core::{dispatch::Event, roll::Order, room::Use},
     entry::{
-        follow, room,
+        capacity, follow,
         shared::Shared,
         store::{Append, Partition},
     },
@@ -75,7 +75,7 @@
                         fleet.answered(&load.target, load.born, &load.model, load.version);
                     }
                     Ok(News::Trimmed { part, texts, before }) => {
-                        room::trimmed(shared, part, usize::from(texts), before);
+                        capacity::trimmed(shared, part, usize::from(texts), before);
                     }
                     Ok(News::Accepted { part }) => {
                         if let Some(accepted) = shared.job_accepted.get(part) {
--- a/crates/hollywell/src/entry/jobs.rs
+++ b/crates/hollywell/src/entry/jobs.rs
@@ -22,11 +22,12 @@
     },
     entry::{
         caller::Caller,
+        capacity,
         dialect::{Delivered, Results},
         ends,
         forward::{self, Plain, Verdict},
-        news::{self, News},
-        room, samples,
+        hints::{self, News},
+        samples,
         shared::{JOBS, Shared, unix_ms},
         store::{Append, Partition, Read, StoreError},
         texts, unbegun,
@@ -108,7 +109,7 @@
         return reply;
     }
     log::debug!("job {job} is new here, partition {part} read to its end: {current}");
-    if let Err(come_back_ms) = room::admit(shared, decoded) {
+    if let Err(come_back_ms) = capacity::admit(shared, decoded) {
         return no_room(shared, job, come_back_ms);
     }
     // The samples first: until the head is there, nothing is kept and nothing
@@ -150,7 +151,7 @@
         tokio::task::spawn_local(unbegun::watch(shared.clone(), part, job.to_owned()));
         let shared = shared.clone();
         tokio::task::spawn_local(async move {
-            news::tell(&shared, &News::Accepted { part }).await;
+            hints::tell(&shared, &News::Accepted { part }).await;
         });
     }
     kept
--- a/crates/hollywell/src/entry/mod.rs
+++ b/crates/hollywell/src/entry/mod.rs
@@ -13,8 +13,8 @@
 //! and wake-ups are what such a machine pays for.
 
 pub mod caller;
+pub mod capacity;
 pub mod carry;
-pub mod clean;
 pub mod dialect;
 pub mod duties;
 pub mod ends;
@@ -22,13 +22,14 @@
 pub mod feed;
 pub mod follow;
 pub mod forward;
+pub mod garbage;
+pub mod hints;
 pub mod ingress;
 pub mod jobs;
 pub mod lease;
 pub mod lines;
 pub mod member;
 pub mod meters;
-pub mod news;
 pub mod orders;
 pub mod outbox;
 pub mod peers;
@@ -36,7 +37,6 @@
 pub mod reader;
 pub mod relay;
 pub mod reload;
-pub mod room;
 pub mod run;
 pub mod samples;
 pub mod serve;
--- a/crates/hollywell/src/entry/orders.rs
+++ b/crates/hollywell/src/entry/orders.rs
@@ -18,8 +18,8 @@
     },
     entry::{
         dialect::VersionOrder,
+        hints::{self, News},
         lease::Lease,
-        news::{self, News},
         shared::{Control, Shared},
         store::Partition,
     },
@@ -164,7 +164,7 @@
         if let Some(report) = self::report(&shared, &order.target).await {
             note(&shared, &order, &report);
             if report.versions.get(&order.model).copied() >= Some(order.version) {
-                news::tell(&shared, &News::Loaded(order)).await;
+                hints::tell(&shared, &News::Loaded(order)).await;
                 return;
             }
         }
--- a/crates/hollywell/src/entry/serve.rs
+++ b/crates/hollywell/src/entry/serve.rs
@@ -23,14 +23,14 @@
         choice::Sights, dispatch, ending, fleet::Fleet, group::Census, poison, room, roster::Roster,
     },
     entry::{
-        self, clean,
+        self,
         dialect::Dialect,
         duties, ends,
         exchange::Pool,
         feed::Feed,
-        follow, ingress, member,
+        follow, garbage, hints, ingress, member,
         meters::Meters,
-        news, orders, outbox, peers, plans,
+        orders, outbox, peers, plans,
         reader::Reader,
         relay::Relay,
         reload,
@@ -143,7 +143,7 @@
         probe_permits: RefCell::default(),
         usage: usage::Usage::default(),
         unsaved_suspects: suspects::UnsavedSuspects::default(),
-        orphans: clean::Orphans::default(),
+        orphans: garbage::Orphans::default(),
         stop: watch::channel(false).0,
         settings,
     }))
@@ -173,7 +173,7 @@
     spawn(Box::pin(follow::wishes(shared.clone())));
     spawn(Box::pin(plans::serve(shared.clone())));
     spawn(Box::pin(follow::fleet(shared.clone())));
-    spawn(Box::pin(news::serve(shared.clone())));
+    spawn(Box::pin(hints::serve(shared.clone())));
     spawn(Box::pin(suspects::serve(shared.clone())));
     spawn(Box::pin(suspects::save(shared.clone())));
     for part in 0..shared.partition_changed.len() {
@@ -184,10 +184,10 @@
     spawn(Box::pin(orders::serve(shared.clone())));
     spawn(Box::pin(usage::save(shared.clone())));
     spawn(Box::pin(duties::serve(shared.clone())));
-    spawn(Box::pin(clean::serve(shared.clone())));
+    spawn(Box::pin(garbage::serve(shared.clone())));
     spawn(Box::pin(peers::serve(shared.clone(), peer_listener)));
     spawn(Box::pin(ends::watch(shared.clone())));
-    spawn(Box::pin(entry::room::serve(shared.clone())));
+    spawn(Box::pin(entry::capacity::serve(shared.clone())));
     spawn(Box::pin(reload::serve(shared.clone(), path.to_owned())));
     spawn(Box::pin(tick(shared.clone())));
     spawn(Box::pin(save(shared.clone())));
--- a/crates/hollywell/src/entry/shared.rs
+++ b/crates/hollywell/src/entry/shared.rs
@@ -32,12 +32,12 @@
         turn::Turns,
     },
     entry::{
-        carry, clean,
+        carry,
         dialect::Dialect,
         ends,
         exchange::Pool,
         feed::Feed,
-        jobs, member,
+        garbage, jobs, member,
         meters::Meters,
         outbox,
         reader::Reader,
@@ -242,7 +242,7 @@
     /// What is counted here of organisations' requests.
     pub usage: usage::Usage,
     /// Records that nothing may name.
-    pub orphans: clean::Orphans,
+    pub orphans: garbage::Orphans,
     /// Turns true when the instance stops.
     pub stop: watch::Sender<bool>,
 }
