--- a/crates/hollywell/src/entry/capacity.rs
+++ b/crates/hollywell/src/entry/capacity.rs
@@ -13,14 +13,14 @@
         room::{self, LIVE_OVERHEAD, LOG_OVERHEAD, Use},
     },
     entry::{
-        hints::{self, News},
+        hints::{self, Hint},
         shared::{JOBS, Shared, TEXTS, unix_ms},
         store::{Partition, Read},
     },
 };
 
 /// Time between looks.
-const LOOK: Duration = Duration::from_secs(1);
+const CHECK_INTERVAL: Duration = Duration::from_secs(1);
 /// Age up to which texts are trimmed while the store is full, in milliseconds:
 /// a text is read by whoever was asked for it right after it was listed.
 const FULL_TEXTS_MS: u64 = 2_000;
@@ -28,7 +28,7 @@
 const HELPERS: f64 = 2.0;
 /// Bytes of text for each token that a sample is estimated at, before any
 /// was seen. Texts of the users' sites have seven.
-const BYTES_A_TOKEN: f64 = 8.0;
+const BYTES_PER_TOKEN: f64 = 8.0;
 /// Bytes of a result besides its text, in both topics, with what the store
 /// adds.
 const OUTCOME_BYTES: u64 = 400;
@@ -39,9 +39,9 @@
 pub async fn serve(shared: Rc<Shared>) {
     let mut tight = false;
     loop {
-        sleep(LOOK).await;
-        let _ratio = look(&shared);
-        tell(&shared, &mut tight);
+        sleep(CHECK_INTERVAL).await;
+        let _ratio = measure(&shared);
+        log_transition(&shared, &mut tight);
         for part in 0..shared.partition_changed.len() {
             trim(&shared, part).await;
         }
@@ -49,18 +49,18 @@
 }
 
 /// Bytes of text for each token, as far as they were seen.
-fn bytes_a_token(shared: &Shared) -> f64 {
+fn bytes_per_token(shared: &Shared) -> f64 {
     let control = shared.control.borrow();
     let jobs = control.partitions.iter().flat_map(|partition| partition.index.jobs.values());
     let (tokens, bytes) =
         jobs.map(Job::sizes).fold((0, 0), |sum, sizes| (sum.0 + sizes.0, sum.1 + sizes.1));
-    if tokens == 0 { BYTES_A_TOKEN } else { bytes as f64 / tokens as f64 }
+    if tokens == 0 { BYTES_PER_TOKEN } else { bytes as f64 / tokens as f64 }
 }
 
 /// Adds up what the store holds, and what accepted jobs will add; the bytes of
 /// text for each token that it reckoned with.
-fn look(shared: &Shared) -> f64 {
-    let ratio = bytes_a_token(shared);
+fn measure(shared: &Shared) -> f64 {
+    let ratio = bytes_per_token(shared);
     let now = shared.now();
     let life_ms = u64::try_from(shared.settings.store.retention.as_millis()).unwrap_or(u64::MAX);
     let control = &mut *shared.control.borrow_mut();
@@ -74,9 +74,12 @@
     let tokens: u64 = jobs().map(Job::tokens_to_come).sum();
     let samples = jobs().filter(|job| !job.ended).map(|job| job.done.len() - job.listed.len());
     let outcomes = samples.sum::<usize>() as u64 * OUTCOME_BYTES;
-    let most = control.capacity.log_most(2 * control.partitions.len());
-    let own =
-        control.partitions.iter().flat_map(|partition| &partition.logs).map(|log| log.bytes(most));
+    let max_log_bytes = control.capacity.log_most(2 * control.partitions.len());
+    let own = control
+        .partitions
+        .iter()
+        .flat_map(|partition| &partition.logs)
+        .map(|log| log.bytes(max_log_bytes));
     let logs = own.sum::<u64>() + others;
     control.capacity.seen(now, live, logs, (tokens as f64 * ratio) as u64 + outcomes);
     shared.meters.used.set(i64::try_from(control.capacity.used()).unwrap_or(i64::MAX));
@@ -84,7 +87,7 @@
 }
 
 /// One line each time that jobs begin or cease to be rejected for room.
-fn tell(shared: &Shared, tight: &mut bool) {
+fn log_transition(shared: &Shared, tight: &mut bool) {
     let now = shared.now();
     let control = shared.control.borrow();
     let allowed = control.capacity.allows(now, Use::Head, 0);
@@ -106,7 +109,7 @@
 ///
 /// When to come back, in milliseconds.
 pub fn admit(shared: &Shared, submission: &Submission) -> Result<(), u64> {
-    let ratio = look(shared);
+    let ratio = measure(shared);
     let mut bytes = 0;
     for sample in &submission.samples {
         let request = prost::Message::encoded_len(sample) as u64;
@@ -114,12 +117,12 @@
         bytes += 2 * (request + BRIEF_BYTES) + LOG_OVERHEAD + LIVE_OVERHEAD + OUTCOME_BYTES;
         bytes += (f64::from(sample.tokens_hint) * ratio) as u64;
     }
-    let next_drop_ms = next_drop_ms(shared);
-    shared.control.borrow().capacity.admit(shared.now(), bytes, next_drop_ms)
+    let next_deletion_ms = next_deletion_ms(shared);
+    shared.control.borrow().capacity.admit(shared.now(), bytes, next_deletion_ms)
 }
 
 /// In how many milliseconds the records of a job will be dropped next.
-fn next_drop_ms(shared: &Shared) -> Option<u64> {
+fn next_deletion_ms(shared: &Shared) -> Option<u64> {
     let kept_ms = shared.settings.times.status_ms().saturating_add(CLOCKS_APART_MS);
     let now_ms = unix_ms();
     let control = shared.control.borrow();
@@ -134,15 +137,17 @@
 /// the store is full, any that finds it due.
 async fn trim(shared: &Rc<Shared>, part: usize) {
     for (at, topic) in [JOBS, TEXTS].into_iter().enumerate() {
-        let Some((before, full)) = due(shared, part, at) else {
+        let Some((before, full)) = due_trim(shared, part, at) else {
             continue;
         };
-        let before = if full && topic == TEXTS { end(shared, part, before).await } else { before };
+        let before =
+            if full && topic == TEXTS { partition_end(shared, part, before).await } else { before };
         match (shared.store.trim)((Partition::at(topic, part), before)).await {
             Ok(()) => {
                 log::info!("{topic}/{part} trimmed before {before}");
-                trimmed(shared, part, at, before);
-                hints::tell(shared, &News::Trimmed { part, texts: topic == TEXTS, before }).await;
+                record_trim(shared, part, at, before);
+                hints::publish(shared, &Hint::Trimmed { part, texts: topic == TEXTS, before })
+                    .await;
             }
             Err(fault) => log::info!("{topic}/{part} is not trimmed yet: {fault}"),
         }
@@ -151,25 +156,25 @@
 
 /// Before which offset a log is to be trimmed by this instance now, if at
 /// all, and whether that is since the store is full.
-fn due(shared: &Shared, part: usize, at: usize) -> Option<(u64, bool)> {
+fn due_trim(shared: &Shared, part: usize, at: usize) -> Option<(u64, bool)> {
     let now = shared.now();
     let control = shared.control.borrow();
     let members = control.roster.members();
-    let most = control.capacity.log_most(2 * control.partitions.len());
+    let max_log_bytes = control.capacity.log_most(2 * control.partitions.len());
     let full = control.capacity.is_full(now);
     // Jobs have followers, which would have to begin anew; texts are found by
     // their keys as well.
     let young_ms = if at == 0 { room::LEAST_MS } else { FULL_TEXTS_MS };
     let log = &control.partitions[part].logs[at];
-    let mine = owner(members, &format!("trim {part}"), "") == Some(shared.instance_id.as_str());
-    let late = log.bytes(0) > most + most / 2;
-    let lucky = (full || late) && rand::random_bool((HELPERS / members.len() as f64).min(1.0));
-    let before = log.cut(now, most, full.then_some(young_ms))?;
-    (mine || lucky).then_some((before, full))
+    let is_owner = owner(members, &format!("trim {part}"), "") == Some(shared.instance_id.as_str());
+    let late = log.bytes(0) > max_log_bytes + max_log_bytes / 2;
+    let is_helper = (full || late) && rand::random_bool((HELPERS / members.len() as f64).min(1.0));
+    let before = log.cut(now, max_log_bytes, full.then_some(young_ms))?;
+    (is_owner || is_helper).then_some((before, full))
 }
 
 /// Notes that a log was trimmed, by whomever.
-pub fn trimmed(shared: &Shared, part: usize, at: usize, before: u64) {
+pub fn record_trim(shared: &Shared, part: usize, at: usize, before: u64) {
     let mut control = shared.control.borrow_mut();
     if let Some(partition) = control.partitions.get_mut(part) {
         partition.logs[at].trimmed(before);
@@ -180,7 +185,7 @@
 /// follows it, and texts that nothing names lie beyond the last that is named.
 /// While the store is full nothing is added there, and whoever still wants one
 /// of the texts finds it by its key.
-async fn end(shared: &Rc<Shared>, part: usize, known: u64) -> u64 {
+async fn partition_end(shared: &Rc<Shared>, part: usize, known: u64) -> u64 {
     let read = Read {
         part: Partition::at(TEXTS, part),
         from: known,
--- a/crates/hollywell/src/entry/duties.rs
+++ b/crates/hollywell/src/entry/duties.rs
@@ -32,23 +32,23 @@
 /// The topic of what was decided and reported; one partition.
 const TOPIC: &str = "keyed.duties";
 /// Time between looks at what is due.
-const TICK: Duration = Duration::from_millis(200);
+const TICK_INTERVAL: Duration = Duration::from_millis(200);
 /// How long before something is due the lease announces it.
-const AHEAD_MS: u64 = 500;
+const ANNOUNCE_AHEAD_MS: u64 = 500;
 /// Time that a call may take: well within what is left of a lease.
-const CALL: Duration = Duration::from_millis(1_000);
+const CALL_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// Most time between calls that failed, in full jitter; doubled each time.
-const RETRY: Duration = Duration::from_millis(250);
+const RETRY_BASE: Duration = Duration::from_millis(250);
 /// Doublings of that time.
 const RETRY_DOUBLINGS: u32 = 3;
 /// Instances of each failure domain that compete for the lease. Each reads it
 /// all the time; with one lost there is another, and other domains have theirs.
 const CANDIDATES: usize = 2;
 /// Largest answer of the API.
-const ANSWER_BYTES: usize = 64 << 10;
+const MAX_RESPONSE_BYTES: usize = 64 << 10;
 
 /// One instance's part in the duties.
-struct Office {
+struct DutyHolder {
     duties: Duties,
     lease: Rc<Lease>,
     /// The window in which this instance first held the lease.
@@ -65,20 +65,20 @@
         return;
     };
     let lease = Lease::new(&shared, Partition::new(LEASE, 0), LEASE);
-    tokio::task::spawn_local(lease.clone().keep(shared.clone(), is_candidate));
-    let mut office = Office { duties, lease, from: None, due_ms: 0, failures: 0 };
+    tokio::task::spawn_local(lease.clone().maintain(shared.clone(), is_candidate));
+    let mut holder = DutyHolder { duties, lease, from: None, due_ms: 0, failures: 0 };
     loop {
-        sleep(TICK).await;
-        if !office.lease.is_held() {
-            (office.due_ms, office.failures) = (0, 0);
+        sleep(TICK_INTERVAL).await;
+        if !holder.lease.is_held() {
+            (holder.due_ms, holder.failures) = (0, 0);
             continue;
         }
         let now_ms = counted::day_ms(&shared);
-        office.from.get_or_insert(duties.usage.window(now_ms));
-        let is_near = now_ms + AHEAD_MS >= office.due_ms;
-        office.lease.want(is_near);
-        if now_ms >= office.due_ms && !shared.control.borrow().stopping {
-            office.step(&shared, now_ms).await;
+        holder.from.get_or_insert(duties.usage.window(now_ms));
+        let is_near = now_ms + ANNOUNCE_AHEAD_MS >= holder.due_ms;
+        holder.lease.set_wanted(is_near);
+        if now_ms >= holder.due_ms && !shared.control.borrow().stopping {
+            holder.step(&shared, now_ms).await;
         }
     }
 }
@@ -95,21 +95,21 @@
         .contains(&shared.instance_id.as_str())
 }
 
-impl Office {
+impl DutyHolder {
     /// Reads what the store holds and does the next thing that is due.
     async fn step(&mut self, shared: &Rc<Shared>, now_ms: u64) {
         let (ledger, end, spent) = match read(shared).await {
             Ok(read) => read,
             Err(fault) => {
                 log::info!("reading what is due: {fault}");
-                return self.failed().await;
+                return self.back_off().await;
             }
         };
         let from = self.from.unwrap_or_default();
         let done = match ledger.next(now_ms, self.duties.usage, from) {
             Next::Wait(until_ms) => {
                 self.due_ms = until_ms;
-                drop_spent(shared, spent).await;
+                delete_reported(shared, spent).await;
                 return;
             }
             Next::Decide(window, counts) => {
@@ -122,23 +122,23 @@
         if done {
             self.failures = 0;
         } else {
-            self.failed().await;
+            self.back_off().await;
         }
     }
 
-    async fn failed(&mut self) {
-        let most = RETRY * (1 << self.failures.min(RETRY_DOUBLINGS));
+    async fn back_off(&mut self) {
+        let max = RETRY_BASE * (1 << self.failures.min(RETRY_DOUBLINGS));
         self.failures += 1;
-        sleep(most.mul_f64(rand::random_range(0.0..=1.0))).await;
+        sleep(max.mul_f64(rand::random_range(0.0..=1.0))).await;
     }
 
     /// Reports a window and notes that it is done; returns whether it is.
     async fn report(&self, shared: &Rc<Shared>, window: u64, report: Bytes, end: u64) -> bool {
         // Asked last: reading may have taken long, or the process been paused.
-        let Some(fence) = self.lease.fence(shared, CALL) else {
+        let Some(fence) = self.lease.fencing_token(shared, CALL_TIMEOUT) else {
             return false;
         };
-        self.lease.used(shared);
+        self.lease.record_use(shared);
         let status = self.call(shared, fence, report).await;
         let name = match status {
             Ok(status) => status.as_str().to_owned(),
@@ -157,7 +157,7 @@
             }
             // A holder of a later grant was there first.
             Ok(StatusCode::CONFLICT) => {
-                self.lease.give_up(shared).await;
+                self.lease.release(shared).await;
                 false
             }
             Ok(_) | Err(_) => false,
@@ -179,10 +179,13 @@
             .header(&names.fence, fence)
             .body(Full::new(body))
             .map_err(|error| error.to_string())?;
-        let answer =
-            shared.pool.send(address, request, CALL).await.map_err(|error| error.to_string())?;
+        let answer = shared
+            .pool
+            .send(address, request, CALL_TIMEOUT)
+            .await
+            .map_err(|error| error.to_string())?;
         let status = answer.head.status;
-        answer.whole(ANSWER_BYTES, CALL).await.map_err(|error| error.to_string())?;
+        answer.whole(MAX_RESPONSE_BYTES, CALL_TIMEOUT).await.map_err(|error| error.to_string())?;
         Ok(status)
     }
 }
@@ -235,7 +238,7 @@
 }
 
 /// Drops pieces of windows that were reported.
-async fn drop_spent(shared: &Shared, keys: Vec<String>) {
+async fn delete_reported(shared: &Shared, keys: Vec<String>) {
     if keys.is_empty() {
         return;
     }
--- a/crates/hollywell/src/entry/ends.rs
+++ b/crates/hollywell/src/entry/ends.rs
@@ -26,15 +26,15 @@
 /// The path on which peers tell of ends.
 pub const PATH: &str = "/ends";
 /// How long to wait for an end whose append got no answer to be read.
-const LOOK_FOR: Duration = Duration::from_millis(2_500);
+const END_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// Pause between looks.
-const LOOK_PAUSE: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// Time between ticks of the reducer while an end is held.
-const TICK: Duration = Duration::from_millis(50);
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// What one peer tells another.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
-struct Word {
+struct EndNotice {
     /// Who tells.
     #[prost(string, tag = "1")]
     by: String,
@@ -44,7 +44,7 @@
 }
 
 /// Takes an event in and carries its effects out.
-pub fn tell(shared: &Rc<Shared>, event: &Event) {
+pub fn handle_event(shared: &Rc<Shared>, event: &Event) {
     let now = shared.now();
     let effects = shared.control.borrow_mut().ending.step(now, event);
     for effect in effects {
@@ -57,7 +57,7 @@
                 tokio::task::spawn_local(append(shared.clone(), job));
             }
             Effect::Tell { member, jobs } => {
-                tokio::task::spawn_local(tell_peer(shared.clone(), member, jobs));
+                tokio::task::spawn_local(notify_peer(shared.clone(), member, jobs));
             }
         }
     }
@@ -65,19 +65,19 @@
 
 /// Ends a job for a caller: it stops at once, whatever the store does. The
 /// answer is [`Reply::Done`] only once the store has the end.
-pub async fn ask(shared: &Rc<Shared>, job: &str, known: bool) -> Reply {
-    tell(shared, &Event::Asked { job: job.to_owned(), known });
+pub async fn end_job(shared: &Rc<Shared>, job: &str, known: bool) -> Reply {
+    handle_event(shared, &Event::Asked { job: job.to_owned(), known });
     if !known {
         return Reply::Unknown;
     }
-    let until = Instant::now() + LOOK_FOR;
+    let until = Instant::now() + END_TIMEOUT;
     loop {
         match progress(shared, job) {
             Progress::Done => return Reply::Done,
             // It goes on being tried; the caller is not kept for that.
             Progress::Refused => return Reply::Unknown,
             Progress::Open if Instant::now() >= until => return Reply::Unknown,
-            Progress::Open => sleep(LOOK_PAUSE).await,
+            Progress::Open => sleep(POLL_INTERVAL).await,
         }
     }
 }
@@ -107,7 +107,7 @@
 /// Leaves the end of a job that does not exist in the store, for when its
 /// head is appended late: whoever was told nothing about its submission may
 /// ask for its end first. It is dropped if the job does not come.
-pub fn leave(shared: &Rc<Shared>, job: &str) {
+pub fn store_early_end(shared: &Rc<Shared>, job: &str) {
     shared.orphans.end(shared.now(), shared.partition_of(job), job);
     let (shared, job) = (shared.clone(), job.to_owned());
     tokio::task::spawn_local(async move {
@@ -136,21 +136,21 @@
             Event::Failed { job, refused }
         }
     };
-    tell(&shared, &event);
+    handle_event(&shared, &event);
 }
 
-async fn tell_peer(shared: Rc<Shared>, member: String, jobs: Vec<String>) {
-    let word = Word { by: shared.instance_id.clone(), jobs };
-    match peers::post(&shared, &member, PATH, word.encode_to_vec().into()).await {
-        Ok(()) => tell(&shared, &Event::Confirmed { member, jobs: word.jobs }),
-        Err(why) => log::info!("telling {member} of {} ends: {why}", word.jobs.len()),
+async fn notify_peer(shared: Rc<Shared>, member: String, jobs: Vec<String>) {
+    let notice = EndNotice { by: shared.instance_id.clone(), jobs };
+    match peers::post(&shared, &member, PATH, notice.encode_to_vec().into()).await {
+        Ok(()) => handle_event(&shared, &Event::Confirmed { member, jobs: notice.jobs }),
+        Err(why) => log::info!("telling {member} of {} ends: {why}", notice.jobs.len()),
     }
 }
 
 /// Lets time pass for the ends that are held.
-pub async fn watch(shared: Rc<Shared>) {
+pub async fn tick(shared: Rc<Shared>) {
     loop {
-        sleep(TICK).await;
+        sleep(TICK_INTERVAL).await;
         let (members, known) = {
             let control = shared.control.borrow();
             let known: BTreeSet<String> = control
@@ -167,20 +167,20 @@
             (control.roster.members().to_vec(), known)
         };
         for job in known.iter().filter(|job| is_ended(&shared, job)) {
-            tell(&shared, &Event::Settled(job.clone()));
+            handle_event(&shared, &Event::Settled(job.clone()));
         }
-        tell(&shared, &Event::Tick { members, known });
+        handle_event(&shared, &Event::Tick { members, known });
     }
 }
 
 /// Takes in what a peer tells.
-pub async fn hear(shared: &Rc<Shared>, request: Request<Incoming>) -> Response<Full<Bytes>> {
-    let Word { by, jobs } = match peers::word(request).await {
-        Ok(word) => word,
-        Err(status) => return peers::nothing(status),
+pub async fn receive(shared: &Rc<Shared>, request: Request<Incoming>) -> Response<Full<Bytes>> {
+    let EndNotice { by, jobs } = match peers::decode_body(request).await {
+        Ok(notice) => notice,
+        Err(status) => return peers::empty_response(status),
     };
     log::info!("{by} tells of ends of {}", jobs.join(" "));
     let (_read, open): (Vec<_>, Vec<_>) = jobs.into_iter().partition(|job| is_ended(shared, job));
-    tell(shared, &Event::Told { by, jobs: open });
-    peers::nothing(StatusCode::OK)
+    handle_event(shared, &Event::Told { by, jobs: open });
+    peers::empty_response(StatusCode::OK)
 }
--- a/crates/hollywell/src/entry/feed.rs
+++ b/crates/hollywell/src/entry/feed.rs
@@ -46,25 +46,25 @@
 /// How long whoever asks is kept where nothing is new. With the wait of the
 /// read that it depends on, two of these must end before a partition counts as
 /// out of date.
-const WAIT: Duration = Duration::from_millis(400);
+const LONG_POLL: Duration = Duration::from_millis(400);
 /// Silence after which another source is asked, or the store.
-const SILENCE: Duration = Duration::from_millis(700);
+const IDLE_TIMEOUT: Duration = Duration::from_millis(700);
 /// Age from which on a source is of no use, in milliseconds: its own read is
 /// overdue.
-const MOST_AGE_MS: u64 = 1_300;
+const MAX_AGE_MS: u64 = 1_300;
 /// Records and bytes of each partition that are handed on: some seconds.
-const MOST_RECORDS: usize = 8_192;
-/// See [`MOST_RECORDS`].
-const MOST_BYTES: usize = 4 << 20;
+const MAX_RECORDS: usize = 8_192;
+/// See [`MAX_RECORDS`].
+const MAX_BYTES: usize = 4 << 20;
 /// Largest answer of a source.
-const ANSWER_BYTES: usize = 16 << 20;
+const MAX_RESPONSE_BYTES: usize = 16 << 20;
 /// Sources that are asked before the store: after a start only the one whose
 /// reading was handed down here has what follows it.
-const TRIES: usize = relay::ROOTS;
+const MAX_SOURCES: usize = relay::ROOTS;
 
 /// A record on its way between instances.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
-struct Passed {
+struct FeedRecord {
     #[prost(uint64, tag = "1")]
     offset: u64,
     #[prost(string, tag = "2")]
@@ -76,7 +76,7 @@
 
 /// What a source hands on.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
-struct Word {
+struct Page {
     /// All before this offset was read.
     #[prost(uint64, tag = "1")]
     end: u64,
@@ -84,29 +84,29 @@
     #[prost(uint64, tag = "2")]
     age_ms: u64,
     #[prost(message, repeated, tag = "3")]
-    records: Vec<Passed>,
+    records: Vec<FeedRecord>,
     /// They are the newest of all keys, not those after an offset.
     #[prost(bool, tag = "4")]
-    anew: bool,
+    is_snapshot: bool,
 }
 
 /// What those that this instance follows say of a partition.
-pub(super) enum Answer {
+pub(super) enum Fetched {
     /// This.
-    Fed(Fed),
+    Batch(Batch),
     /// They live, and have not read it yet themselves.
-    NotYet,
+    NotReady,
     /// There is nobody to follow, or nobody answered.
-    Nobody,
+    NoSource,
 }
 
 /// What was handed on to this instance.
-pub(super) struct Fed {
+pub(super) struct Batch {
     pub records: Records,
     /// When the store was asked for it.
-    pub asked_at: Time,
+    pub requested_at: Time,
     /// The records are the newest of all keys.
-    pub anew: bool,
+    pub is_snapshot: bool,
 }
 
 /// What was read lately of one partition.
@@ -115,35 +115,35 @@
     /// Nothing is missing from here on.
     first: u64,
     end: u64,
-    asked_at: Time,
+    requested_at: Time,
     records: VecDeque<Record>,
     bytes: usize,
     /// What targets said last.
-    said: HashMap<String, Announcement>,
+    announced: HashMap<String, Announcement>,
     /// The newest record of each target, if none is missing.
     newest: Option<HashMap<String, Record>>,
     /// All of those, encoded, and the end up to which they were read.
-    whole: Option<(u64, Bytes)>,
+    snapshot: Option<(u64, Bytes)>,
 }
 
 impl Log {
     /// Whether a target's entry says something new; heartbeats mostly do not.
-    fn is_news(&mut self, shared: &Shared, record: &Record) -> bool {
+    fn is_change(&mut self, shared: &Shared, record: &Record) -> bool {
         let Some(value) = &record.value else {
-            self.said.remove(&record.key);
+            self.announced.remove(&record.key);
             return true;
         };
-        let Ok(said) = (shared.dialect.announcement)(&record.key, value) else {
+        let Ok(announced) = (shared.dialect.announcement)(&record.key, value) else {
             return true;
         };
-        let said = Announcement { beats: 0, ..said };
-        self.said.insert(record.key.clone(), said.clone()) != Some(said)
+        let announced = Announcement { beats: 0, ..announced };
+        self.announced.insert(record.key.clone(), announced.clone()) != Some(announced)
     }
 
     fn push(&mut self, record: &Record) {
         self.bytes += size(record);
         self.records.push_back(record.clone());
-        while self.records.len() > MOST_RECORDS || self.bytes > MOST_BYTES {
+        while self.records.len() > MAX_RECORDS || self.bytes > MAX_BYTES {
             let Some(oldest) = self.records.pop_front() else {
                 return;
             };
@@ -153,7 +153,7 @@
     }
 
     /// Notes a record as the newest of its key.
-    fn renew(&mut self, record: &Record) {
+    fn update_newest(&mut self, record: &Record) {
         let Some(newest) = &mut self.newest else {
             return;
         };
@@ -164,37 +164,48 @@
     }
 
     /// What follows an offset, unless some of it is not known here.
-    fn since(&self, now: Time, from: u64) -> Option<Word> {
+    fn page_from(&self, now: Time, from: u64) -> Option<Page> {
         if !(self.first..=self.end).contains(&from) {
             return None;
         }
         let records = self.records.iter().filter(|record| record.offset >= from);
-        let records = records.map(Passed::new).collect();
-        Some(Word { end: self.end, age_ms: now.since(self.asked_at), records, anew: false })
+        let records = records.map(FeedRecord::new).collect();
+        Some(Page {
+            end: self.end,
+            age_ms: now.since(self.requested_at),
+            records,
+            is_snapshot: false,
+        })
     }
 
     /// The newest records of all keys, for whoever needs what is no longer
     /// known here one by one. They are encoded once for a crowd, for as long as
     /// what followed them is known.
-    fn all(&mut self, now: Time) -> Option<Bytes> {
-        if let Some((end, whole)) = &self.whole
+    fn encoded_snapshot(&mut self, now: Time) -> Option<Bytes> {
+        if let Some((end, snapshot)) = &self.snapshot
             && *end >= self.first
         {
-            return Some(whole.clone());
+            return Some(snapshot.clone());
         }
-        let mut records: Vec<Passed> = self.newest.as_ref()?.values().map(Passed::new).collect();
-        records.sort_by_key(|passed| passed.offset);
-        let word = Word { end: self.end, age_ms: now.since(self.asked_at), records, anew: true };
-        let whole = Bytes::from(word.encode_to_vec());
-        self.whole = Some((self.end, whole.clone()));
-        Some(whole)
+        let mut records: Vec<FeedRecord> =
+            self.newest.as_ref()?.values().map(FeedRecord::new).collect();
+        records.sort_by_key(|record| record.offset);
+        let page = Page {
+            end: self.end,
+            age_ms: now.since(self.requested_at),
+            records,
+            is_snapshot: true,
+        };
+        let snapshot = Bytes::from(page.encode_to_vec());
+        self.snapshot = Some((self.end, snapshot.clone()));
+        Some(snapshot)
     }
 }
 
-impl Passed {
-    fn new(record: &Record) -> Passed {
+impl FeedRecord {
+    fn new(record: &Record) -> FeedRecord {
         let Record { offset, key, value } = record.clone();
-        Passed { offset, key, value }
+        FeedRecord { offset, key, value }
     }
 }
 
@@ -270,7 +281,7 @@
 /// Notes what was read of a partition from its beginning, so that only what
 /// says something else is handed on. Without it the first heartbeats of all
 /// targets pushed out what had followed the reading that others had been given.
-pub(super) fn begin(shared: &Shared, part: &Partition, newest: &Records) {
+pub(super) fn start(shared: &Shared, part: &Partition, newest: &Records) {
     {
         let control = shared.control.borrow();
         let members = control.roster.members();
@@ -283,8 +294,8 @@
     if part.topic == shared.dialect.announcements {
         log.newest = Some(HashMap::new());
         for record in &newest.records {
-            log.is_news(shared, record);
-            log.renew(record);
+            log.is_change(shared, record);
+            log.update_newest(record);
         }
     }
     shared.feed.logs.borrow_mut().insert(part.clone(), log);
@@ -292,7 +303,13 @@
 
 /// Keeps what was read of a partition from an offset on for those who follow
 /// this instance.
-pub(super) fn keep(shared: &Shared, part: &Partition, from: u64, read: &Records, asked_at: Time) {
+pub(super) fn record(
+    shared: &Shared,
+    part: &Partition,
+    from: u64,
+    read: &Records,
+    requested_at: Time,
+) {
     let mut logs = shared.feed.logs.borrow_mut();
     let log = logs.entry(part.clone()).or_default();
     if log.end != from {
@@ -300,13 +317,13 @@
     }
     for record in &read.records {
         let is_entry = part.topic == shared.dialect.announcements;
-        log.renew(record);
-        if !is_entry || log.is_news(shared, record) {
+        log.update_newest(record);
+        if !is_entry || log.is_change(shared, record) {
             log.push(record);
         }
         log.end = log.end.max(record.offset + 1);
     }
-    log.asked_at = asked_at;
+    log.requested_at = requested_at;
     if !read.records.is_empty() {
         shared.feed.changed.notify_waiters();
     }
@@ -314,34 +331,34 @@
 
 /// What follows an offset of a partition, from whomever this instance
 /// follows.
-pub(super) async fn ask(shared: &Rc<Shared>, part: &Partition, from: u64) -> Answer {
-    let mut nothing = Answer::Nobody;
-    for source in sources(shared).into_iter().take(TRIES) {
-        let asked_at = shared.now();
-        match ask_one(shared, part, from, &source).await {
-            Ok(Some(word)) if word.age_ms <= MOST_AGE_MS => {
+pub(super) async fn fetch(shared: &Rc<Shared>, part: &Partition, from: u64) -> Fetched {
+    let mut nothing = Fetched::NoSource;
+    for source in sources(shared).into_iter().take(MAX_SOURCES) {
+        let requested_at = shared.now();
+        match fetch_from(shared, part, from, &source).await {
+            Ok(Some(page)) if page.age_ms <= MAX_AGE_MS => {
                 if shared.feed.note_source(part, &source) {
                     log::info!("{}/{} is fed by {source}", part.topic, part.number);
                 }
-                let record = |passed: Passed| Record {
-                    offset: passed.offset,
-                    key: passed.key,
-                    value: passed.value,
+                let record = |record: FeedRecord| Record {
+                    offset: record.offset,
+                    key: record.key,
+                    value: record.value,
                 };
-                let records = word.records.into_iter().map(record).collect();
-                return Answer::Fed(Fed {
-                    records: Records { end: word.end, records, beyond: vec![] },
-                    asked_at: Time(asked_at.0.saturating_sub(word.age_ms)),
-                    anew: word.anew,
+                let records = page.records.into_iter().map(record).collect();
+                return Fetched::Batch(Batch {
+                    records: Records { end: page.end, records, beyond: vec![] },
+                    requested_at: Time(requested_at.0.saturating_sub(page.age_ms)),
+                    is_snapshot: page.is_snapshot,
                 });
             }
-            Ok(Some(word)) => {
-                log::info!("{source} has read {part:?} {} ms ago", word.age_ms);
-                nothing = Answer::NotYet;
+            Ok(Some(page)) => {
+                log::info!("{source} has read {part:?} {} ms ago", page.age_ms);
+                nothing = Fetched::NotReady;
             }
             Ok(None) => {
                 log::info!("{source} does not know what follows {from} of {part:?}");
-                nothing = Answer::NotYet;
+                nothing = Fetched::NotReady;
             }
             Err(why) => {
                 log::info!("{part:?} from {from} on is not to be had from {source}: {why}");
@@ -352,60 +369,63 @@
 }
 
 /// Asks one of them; `None` if it does not know what follows the offset.
-async fn ask_one(
+async fn fetch_from(
     shared: &Rc<Shared>,
     part: &Partition,
     from: u64,
     source: &str,
-) -> Result<Option<Word>, String> {
+) -> Result<Option<Page>, String> {
     let path = format!("{PATH}{}/{}/{from}", part.topic, part.number);
-    let answer = peers::get(shared, source, &path, SILENCE).await?;
+    let answer = peers::get(shared, source, &path, IDLE_TIMEOUT).await?;
     let status = answer.head.status;
-    let body = answer.whole_unless_silent(ANSWER_BYTES, SILENCE).await;
+    let body = answer.whole_unless_silent(MAX_RESPONSE_BYTES, IDLE_TIMEOUT).await;
     let body = body.map_err(|error| error.to_string())?;
     match status {
         StatusCode::OK => {}
         StatusCode::GONE => return Ok(None),
         other => return Err(other.to_string()),
     }
-    let word = Word::decode(body).map_err(|error| error.to_string())?;
-    let first = if word.anew { 0 } else { from };
-    let is_whole = word.end >= from
-        && word.records.iter().all(|record| (first..word.end).contains(&record.offset))
-        && word.records.is_sorted_by(|a, b| a.offset < b.offset);
-    if is_whole { Ok(Some(word)) } else { Err(String::from("records that do not follow")) }
+    let page = Page::decode(body).map_err(|error| error.to_string())?;
+    let first = if page.is_snapshot { 0 } else { from };
+    let is_contiguous = page.end >= from
+        && page.records.iter().all(|record| (first..page.end).contains(&record.offset))
+        && page.records.is_sorted_by(|a, b| a.offset < b.offset);
+    if is_contiguous { Ok(Some(page)) } else { Err(String::from("records that do not follow")) }
 }
 
 /// Hands on what follows an offset, once there is something.
-pub(super) async fn answer(shared: &Rc<Shared>, path: &str) -> Response<Full<Bytes>> {
-    let Some((part, from)) = named(path) else {
-        return peers::nothing(StatusCode::NOT_FOUND);
+pub(super) async fn respond(shared: &Rc<Shared>, path: &str) -> Response<Full<Bytes>> {
+    let Some((part, from)) = parse_path(path) else {
+        return peers::empty_response(StatusCode::NOT_FOUND);
     };
-    let until = Instant::now() + WAIT;
+    let until = Instant::now() + LONG_POLL;
     loop {
         let changed = shared.feed.changed.notified();
-        let (word, all) = {
+        let (page, all) = {
             let (now, mut logs) = (shared.now(), shared.feed.logs.borrow_mut());
             let log = logs.get_mut(&part);
-            match log.as_ref().and_then(|log| log.since(now, from)) {
-                Some(word) => (Some(word), None),
-                None => (None, log.filter(|log| from < log.first).and_then(|log| log.all(now))),
+            match log.as_ref().and_then(|log| log.page_from(now, from)) {
+                Some(page) => (Some(page), None),
+                None => (
+                    None,
+                    log.filter(|log| from < log.first).and_then(|log| log.encoded_snapshot(now)),
+                ),
             }
         };
-        let Some(word) = word else {
+        let Some(page) = page else {
             let Some(all) = all else {
-                return peers::nothing(StatusCode::GONE);
+                return peers::empty_response(StatusCode::GONE);
             };
             return Response::new(Full::new(all));
         };
-        if word.end > from || timeout_at(until, changed).await.is_err() {
-            return Response::new(Full::new(word.encode_to_vec().into()));
+        if page.end > from || timeout_at(until, changed).await.is_err() {
+            return Response::new(Full::new(page.encode_to_vec().into()));
         }
     }
 }
 
 /// The partition and the offset that a path names.
-fn named(path: &str) -> Option<(Partition, u64)> {
+fn parse_path(path: &str) -> Option<(Partition, u64)> {
     let mut parts = path.strip_prefix(PATH)?.rsplitn(3, '/');
     let from = parts.next()?.parse().ok()?;
     let number = parts.next()?.parse().ok()?;
--- a/crates/hollywell/src/entry/follow.rs
+++ b/crates/hollywell/src/entry/follow.rs
@@ -23,7 +23,7 @@
     },
     entry::{
         dialect::Wish,
-        feed::{self, Fed},
+        feed::{self, Batch},
         plans, relay,
         shared::{Control, JOBS, Shared},
         store::{Newest, Partition, Read, Records, StoreError},
@@ -36,45 +36,45 @@
 /// cheap beside that. Two waits in a row, with what they take beside, must
 /// end within the two seconds after which a partition is out of date: one
 /// that nobody writes to is not.
-const WAIT: Duration = Duration::from_millis(900);
+const READ_WAIT: Duration = Duration::from_millis(900);
 /// The same for an instance that others follow: theirs comes on top.
-const SOURCE_WAIT: Duration = Duration::from_millis(450);
+const SOURCE_READ_WAIT: Duration = Duration::from_millis(450);
 /// Least time between reads of a partition of jobs: what one read more costs
 /// against what a result that is known sooner earns. It grows with the
-/// number of instances beyond [`JOBS_MEMBERS`], as all share the store's
+/// number of instances beyond [`JOBS_INSTANCES`], as all share the store's
 /// rate of reads, but not where a caller waits for results: few instances
 /// have one, and it is they who hold a step up.
-const JOBS_PAUSE: Duration = Duration::from_millis(40);
-/// See [`JOBS_PAUSE`]: 20 instances that read four busy partitions make 2,000
+const JOBS_INTERVAL: Duration = Duration::from_millis(40);
+/// See [`JOBS_INTERVAL`]: 20 instances that read four busy partitions make 2,000
 /// calls a second.
-const JOBS_MEMBERS: f64 = 20.0;
+const JOBS_INSTANCES: f64 = 20.0;
 /// Followers of one source up to which each asks as often as that. A busy
 /// partition changes all the time, and each answer takes the source's time.
 const JOBS_FOLLOWERS: f64 = 8.0;
 /// Longest pause of a follower: with what a source's own read takes, the end
 /// of a job must be known well before its partition is out of date.
-const JOBS_PAUSE_MOST: Duration = Duration::from_millis(600);
+const MAX_JOBS_INTERVAL: Duration = Duration::from_millis(600);
 /// How long those that are followed are asked again at a start, while they have
 /// not read a partition themselves.
-const NOT_YET: Duration = Duration::from_millis(4_000);
+const NOT_READY_TIMEOUT: Duration = Duration::from_millis(4_000);
 /// Time between two such questions.
-const NOT_YET_PAUSE: Duration = Duration::from_millis(250);
+const NOT_READY_RETRY: Duration = Duration::from_millis(250);
 /// Least time between reads of the targets' announcements. Each heartbeat is
 /// a record; a leaving target must get nothing after two seconds.
-const FLEET_PAUSE: Duration = Duration::from_millis(300);
+const TARGETS_INTERVAL: Duration = Duration::from_millis(300);
 /// Least time between reads of the operator's wishes.
-const WISHES_PAUSE: Duration = Duration::from_millis(20);
+const COMMANDS_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Where a batch of records comes from.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct From {
+pub(super) struct Origin {
     /// These are all there is from the beginning.
-    pub anew: bool,
+    pub is_snapshot: bool,
     /// When the store was asked for them: an answer may have lain here
     /// unread, and says nothing of what happened since. `None` for what is
     /// read from the beginning: that takes seconds among many instances, or
     /// was another instance's, and is current only once it was read on from.
-    pub asked_at: Option<Time>,
+    pub requested_at: Option<Time>,
 }
 
 /// How far a partition is read, and what the next read should look like.
@@ -94,7 +94,13 @@
 impl Position {
     fn new(keyed: bool) -> Position {
         let next = (!keyed).then_some(0);
-        Position { next, newest: Newest::default(), wait: WAIT, failures: 0, is_current: false }
+        Position {
+            next,
+            newest: Newest::default(),
+            wait: READ_WAIT,
+            failures: 0,
+            is_current: false,
+        }
     }
 
     /// Reads on: through another instance where this one follows any.
@@ -102,68 +108,68 @@
         &mut self,
         shared: &Rc<Shared>,
         part: &Partition,
-        is_fed: bool,
-    ) -> Result<Fed, StoreError> {
-        if is_fed && let Some(fed) = self.read_fed(shared, part).await {
-            return Ok(fed);
+        may_follow: bool,
+    ) -> Result<Batch, StoreError> {
+        if may_follow && let Some(batch) = self.read_from_source(shared, part).await {
+            return Ok(batch);
         }
         match self.next {
-            Some(from) => self.read_on(shared, part, is_fed, from).await,
-            None => self.read_newest(shared, part, is_fed).await,
+            Some(from) => self.read_on(shared, part, may_follow, from).await,
+            None => self.read_snapshot(shared, part, may_follow).await,
         }
     }
 
     /// Takes what another instance hands on; of a partition that is not read
     /// yet, only where all of it is.
-    async fn read_fed(&mut self, shared: &Rc<Shared>, part: &Partition) -> Option<Fed> {
+    async fn read_from_source(&mut self, shared: &Rc<Shared>, part: &Partition) -> Option<Batch> {
         if self.next.is_none() && part.topic != shared.dialect.announcements {
             return None;
         }
-        let fed = self.ask(shared, part).await?;
-        if self.next.is_none() && !fed.anew {
+        let batch = self.ask_sources(shared, part).await?;
+        if self.next.is_none() && !batch.is_snapshot {
             return None;
         }
         // Records that say nothing new are left out.
-        self.next = Some(fed.records.end);
+        self.next = Some(batch.records.end);
         self.newest = Newest::default();
-        Some(fed)
+        Some(batch)
     }
 
     /// Asks those that this instance follows. While they live and have not
     /// read the partition themselves, all that follow them would only make them
     /// wait longer at the store.
-    async fn ask(&self, shared: &Rc<Shared>, part: &Partition) -> Option<Fed> {
-        let patience = if self.is_current { Duration::ZERO } else { NOT_YET };
+    async fn ask_sources(&self, shared: &Rc<Shared>, part: &Partition) -> Option<Batch> {
+        let patience = if self.is_current { Duration::ZERO } else { NOT_READY_TIMEOUT };
         let until = Instant::now() + patience;
         loop {
-            match feed::ask(shared, part, self.next.unwrap_or(0)).await {
-                feed::Answer::Fed(fed) => return Some(fed),
-                feed::Answer::NotYet if Instant::now() < until => {
-                    sleep_until(Instant::now() + NOT_YET_PAUSE).await;
+            match feed::fetch(shared, part, self.next.unwrap_or(0)).await {
+                feed::Fetched::Batch(batch) => return Some(batch),
+                feed::Fetched::NotReady if Instant::now() < until => {
+                    sleep_until(Instant::now() + NOT_READY_RETRY).await;
                 }
-                feed::Answer::NotYet | feed::Answer::Nobody => return None,
+                feed::Fetched::NotReady | feed::Fetched::NoSource => return None,
             }
         }
     }
 
     /// Reads the newest record of each key from the store.
-    async fn read_newest(
+    async fn read_snapshot(
         &mut self,
         shared: &Rc<Shared>,
         part: &Partition,
-        is_fed: bool,
-    ) -> Result<Fed, StoreError> {
-        let asked_at = shared.now();
+        may_follow: bool,
+    ) -> Result<Batch, StoreError> {
+        let requested_at = shared.now();
         shared.reader.resume_newest(part, &mut self.newest).await?;
         shared.record_store_result(true);
         let records = std::mem::take(&mut self.newest).into_records();
-        if is_fed {
-            feed::begin(shared, part, &records);
+        if may_follow {
+            feed::start(shared, part, &records);
         }
         if relay::is_relayed(shared, part) {
-            relay::keep(shared, part, &records, shared.now().since(asked_at));
+            relay::keep(shared, part, &records, shared.now().since(requested_at));
         }
-        Ok(Fed { records, asked_at, anew: true })
+        Ok(Batch { records, requested_at, is_snapshot: true })
     }
 
     /// Reads on in the store.
@@ -171,19 +177,19 @@
         &self,
         shared: &Rc<Shared>,
         part: &Partition,
-        is_fed: bool,
+        may_follow: bool,
         from: u64,
-    ) -> Result<Fed, StoreError> {
-        let asked_at = shared.now();
-        let is_source = is_fed && feed::is_source(shared);
-        let wait = if is_source { self.wait.min(SOURCE_WAIT) } else { self.wait };
+    ) -> Result<Batch, StoreError> {
+        let requested_at = shared.now();
+        let is_source = may_follow && feed::is_source(shared);
+        let wait = if is_source { self.wait.min(SOURCE_READ_WAIT) } else { self.wait };
         let read = Read { part: part.clone(), from, wait, max_kb: None };
         let records = shared.reader.read(read).await?;
         shared.record_store_result(true);
         if is_source {
-            feed::keep(shared, part, from, &records, asked_at);
+            feed::record(shared, part, from, &records, requested_at);
         }
-        Ok(Fed { records, asked_at, anew: false })
+        Ok(Batch { records, requested_at, is_snapshot: false })
     }
 
     /// Goes on behind what was read. A read ends at its last record, the
@@ -192,7 +198,7 @@
         let last = records.records.last().map_or(0, |record| record.offset + 1);
         let next = self.next.map_or(records.end, |from| last.max(from));
         // What came from the beginning is not known to be current.
-        self.wait = if self.next.is_none() { Duration::ZERO } else { WAIT };
+        self.wait = if self.next.is_none() { Duration::ZERO } else { READ_WAIT };
         self.next = Some(next);
         self.failures = 0;
     }
@@ -214,29 +220,29 @@
     pause: impl Fn(&Shared) -> Duration,
     sooner: Option<&Notify>,
     keyed: bool,
-    take: impl Fn(&Rc<Shared>, Records, From),
+    take: impl Fn(&Rc<Shared>, Records, Origin),
 ) {
     let is_relayed = relay::is_relayed(&shared, &part);
     // The configuration is vital: everybody reads it, beside what peers tell.
-    let is_fed = part.topic != shared.dialect.wishes;
+    let may_follow = part.topic != shared.dialect.wishes;
     let mut position = Position::new(keyed);
-    if is_relayed && let Some((records, age_ms)) = relay::ask(&shared, &part).await {
+    if is_relayed && let Some((records, age_ms)) = relay::fetch(&shared, &part).await {
         relay::keep(&shared, &part, &records, age_ms);
         position.advance(&records);
-        take(&shared, records, From { anew: true, asked_at: None });
+        take(&shared, records, Origin { is_snapshot: true, requested_at: None });
     }
     loop {
         let started = Instant::now();
-        match position.read(&shared, &part, is_fed).await {
-            Ok(Fed { records, asked_at, anew }) => {
+        match position.read(&shared, &part, may_follow).await {
+            Ok(Batch { records, requested_at, is_snapshot }) => {
                 if part.topic != JOBS {
                     shared.account_for_read(&part, &records);
                 }
                 position.advance(&records);
-                position.is_current |= !anew;
-                let asked_at = (!anew).then_some(asked_at);
-                take(&shared, records, From { anew, asked_at });
-                if anew {
+                position.is_current |= !is_snapshot;
+                let requested_at = (!is_snapshot).then_some(requested_at);
+                take(&shared, records, Origin { is_snapshot, requested_at });
+                if is_snapshot {
                     continue;
                 }
                 let next = started + pause(&shared);
@@ -254,32 +260,32 @@
                 shared.record_store_result(false);
                 log::info!("reading {}/{}: {fault}", part.topic, part.number);
                 position.fail();
-                shared.reader.pause(position.failures).await;
+                shared.reader.back_off(position.failures).await;
             }
         }
     }
 }
 
-fn jobs_pause(shared: &Shared, part: usize) -> Duration {
+fn jobs_interval(shared: &Shared, part: usize) -> Duration {
     if shared.result_waiters[part].get() > 0 {
-        return JOBS_PAUSE;
+        return JOBS_INTERVAL;
     }
     if feed::is_follower(shared) {
         let crowd = feed::followers(shared) as f64 / JOBS_FOLLOWERS;
-        return JOBS_PAUSE.mul_f64(crowd.max(1.0)).min(JOBS_PAUSE_MOST);
+        return JOBS_INTERVAL.mul_f64(crowd.max(1.0)).min(MAX_JOBS_INTERVAL);
     }
-    JOBS_PAUSE.mul_f64((feed::readers(shared) as f64 / JOBS_MEMBERS).max(1.0))
+    JOBS_INTERVAL.mul_f64((feed::readers(shared) as f64 / JOBS_INSTANCES).max(1.0))
 }
 
 /// Follows one partition of batch jobs.
 pub async fn jobs(shared: Rc<Shared>, part: usize) {
     let hurry = shared.clone();
-    let pause = move |shared: &Shared| jobs_pause(shared, part);
+    let pause = move |shared: &Shared| jobs_interval(shared, part);
     let sooner = Some(&hurry.job_accepted[part]);
     follow(shared, Partition::at(JOBS, part), pause, sooner, true, move |shared, records, from| {
-        let end = if from.anew { records.end } else { 0 };
-        shared.control.borrow_mut().partitions[part].read_at = from.asked_at;
-        if from.anew {
+        let end = if from.is_snapshot { records.end } else { 0 };
+        shared.control.borrow_mut().partitions[part].read_at = from.requested_at;
+        if from.is_snapshot {
             shared.remove_missing_jobs(part, &records);
         }
         shared.apply_records(part, &records.records, end);
@@ -288,19 +294,19 @@
 }
 
 /// Follows the targets' announcements.
-pub async fn fleet(shared: Rc<Shared>) {
+pub async fn targets(shared: Rc<Shared>) {
     let part = Partition::new(shared.dialect.announcements, 0);
     follow(
         shared,
         part,
-        |_| FLEET_PAUSE,
+        |_| TARGETS_INTERVAL,
         None,
         true,
         |shared, records, from| {
             let now = shared.now();
             {
                 let control = &mut *shared.control.borrow_mut();
-                if from.anew {
+                if from.is_snapshot {
                     // Whatever is not among the newest has vanished unseen.
                     let listed: HashSet<&str> =
                         records.records.iter().map(|record| record.key.as_str()).collect();
@@ -310,9 +316,9 @@
                     }
                 }
                 for record in &records.records {
-                    entry(shared, control, now, record);
+                    apply_entry(shared, control, now, record);
                 }
-                control.fleet_loaded |= from.asked_at.is_some();
+                control.fleet_loaded |= from.requested_at.is_some();
             }
             shared.handle_event(&crate::core::dispatch::Event::Tick);
         },
@@ -321,7 +327,7 @@
 }
 
 /// Takes one entry of a target in.
-fn entry(shared: &Shared, control: &mut Control, now: Time, record: &Record) {
+fn apply_entry(shared: &Shared, control: &mut Control, now: Time, record: &Record) {
     let id = &record.key;
     let Some(value) = &record.value else {
         log::info!("target {id} vanished");
@@ -329,7 +335,7 @@
         return;
     };
     match (shared.dialect.announcement)(id, value) {
-        Ok(said) => announced(shared, control, now, said),
+        Ok(said) => apply_announcement(shared, control, now, said),
         Err(why) => {
             shared.meters.entries_skipped.inc();
             if control.fleet.skip(id, &why) {
@@ -339,7 +345,7 @@
     }
 }
 
-fn announced(shared: &Shared, control: &mut Control, now: Time, said: Announcement) {
+fn apply_announcement(shared: &Shared, control: &mut Control, now: Time, said: Announcement) {
     let (id, born) = (said.id.clone(), said.born);
     match control.fleet.announce(now, said) {
         Heard::Taken => {}
@@ -349,23 +355,23 @@
 }
 
 /// Follows the operator's wishes: the configuration and the newest weights.
-pub async fn wishes(shared: Rc<Shared>) {
+pub async fn operator_commands(shared: Rc<Shared>) {
     let part = Partition::new(shared.dialect.wishes, 0);
     follow(
         shared,
         part,
-        |_| WISHES_PAUSE,
+        |_| COMMANDS_INTERVAL,
         None,
         true,
         |shared, records, from| {
             for record in &records.records {
-                wish(shared, record);
+                apply_command(shared, record);
             }
-            if from.anew {
-                evacuations_left(shared, &records);
+            if from.is_snapshot {
+                end_withdrawn_evacuations(shared, &records);
             }
-            if let Some(asked_at) = from.asked_at {
-                plans::current(shared, asked_at);
+            if let Some(requested_at) = from.requested_at {
+                plans::current(shared, requested_at);
             }
             shared.open_waiting_jobs();
         },
@@ -374,7 +380,7 @@
 }
 
 /// Ends evacuations that were taken back while nothing was read here.
-fn evacuations_left(shared: &Rc<Shared>, newest: &Records) {
+fn end_withdrawn_evacuations(shared: &Rc<Shared>, newest: &Records) {
     let domain = |key: &str| match (shared.dialect.wish)(key, None) {
         Ok(Some(Wish::Evacuation { domain, .. })) => Some(domain),
         _ => None,
@@ -385,7 +391,7 @@
     plans::evacuate_only(shared, &on, |domain| unread.contains(domain));
 }
 
-fn wish(shared: &Rc<Shared>, record: &Record) {
+fn apply_command(shared: &Rc<Shared>, record: &Record) {
     match (shared.dialect.wish)(&record.key, record.value.as_deref()) {
         Ok(Some(Wish::Plan(plan))) => plans::take(shared, plan, "the store"),
         Ok(Some(Wish::Version { model, version })) => plans::named(shared, &model, version),
--- a/crates/hollywell/src/entry/forward.rs
+++ b/crates/hollywell/src/entry/forward.rs
@@ -28,7 +28,7 @@
     entry::{
         exchange::{Answer, Error},
         shared::Shared,
-        suspects::{self, Trial},
+        suspects::{self, ProbeTarget},
         usage,
     },
     error::Kind,
@@ -109,14 +109,14 @@
     /// Counts it for its organisation as it is sent for the first time.
     fn begin(&self, shared: &Shared) {
         if self.began.get().is_none() {
-            self.began.set(usage::begin(shared, &self.organisation));
+            self.began.set(usage::count_request(shared, &self.organisation));
         }
     }
 
     /// Takes that back.
     fn undo_begin(&self, shared: &Shared) {
         if let Some(window) = self.began.take() {
-            usage::undo(shared, window, &self.organisation);
+            usage::uncount_request(shared, window, &self.organisation);
         }
     }
 }
@@ -244,7 +244,7 @@
                     tokio::time::sleep(PAUSE).await;
                     continue;
                 }
-                let Some(turn) = suspects::turn(shared, pool).await else {
+                let Some(turn) = suspects::acquire_probe_permit(shared, pool).await else {
                     tokio::time::sleep(PAUSE).await;
                     continue;
                 };
@@ -252,10 +252,12 @@
                 if suspects::verdict(shared, || plain.digest()) != Blame::Suspect {
                     continue;
                 }
-                match suspects::trial(shared, pool, plain.digest()) {
-                    Trial::At(target) if has_room(shared, &target) => (Some(*target), Some(turn)),
-                    Trial::At(_) => (None, None),
-                    Trial::Nowhere => {
+                match suspects::probe_target(shared, pool, plain.digest()) {
+                    ProbeTarget::At(target) if has_room(shared, &target) => {
+                        (Some(*target), Some(turn))
+                    }
+                    ProbeTarget::At(_) => (None, None),
+                    ProbeTarget::Nowhere => {
                         attempt.come_back_ms = Some(LAST_SOUND_PAUSE_MS);
                         break;
                     }
@@ -323,7 +325,7 @@
     let pool = pick_pool(route, salt)?;
     let now = shared.now();
     let all = || control.fleet.usable(pool).map(|target| &target.said);
-    let reserved = suspects::reserved(shared, pool);
+    let reserved = suspects::reserved_target(shared, pool);
     let is_reserved = |target: &Announcement| reserved.as_ref() == Some(&target.id);
     let fresh = all().filter(|target| !tried.contains(&target.id) && !is_reserved(target));
     // Instances that know nothing of any target must not all pick the same.
@@ -488,7 +490,7 @@
                 headers.remove(name);
             }
             shared.control.borrow_mut().observations.sound(now, &target.id);
-            suspects::served(shared, || plain.digest());
+            suspects::record_served(shared, || plain.digest());
             Sent::Answered(Whole { status, headers, body })
         }
         Err(error) => {
@@ -508,7 +510,7 @@
 async fn look(shared: &Rc<Shared>, trip: &Trip<'_>) -> bool {
     let mine = shared.control.borrow().observations.of(&trip.target.id).map(|sight| sight.mine);
     let is_alone = trip.is_trial && mine == Some(1);
-    suspects::look(shared, trip.target, trip.plain.digest(), is_alone).await
+    suspects::check_ended(shared, trip.target, trip.plain.digest(), is_alone).await
 }
 
 fn request(
--- a/crates/hollywell/src/entry/garbage.rs
+++ b/crates/hollywell/src/entry/garbage.rs
@@ -24,12 +24,12 @@
 };
 
 /// Time between looks.
-const LOOK: Duration = Duration::from_secs(1);
+const SCAN_INTERVAL: Duration = Duration::from_secs(1);
 /// Records that one call drops.
-const AT_ONCE: usize = 1_000;
+const MAX_BATCH: usize = 1_000;
 /// How long an append without an answer may still be done, in milliseconds;
 /// the platform says seconds.
-const LATE_MS: u64 = 30_000;
+const LATE_APPEND_MS: u64 = 30_000;
 
 /// Records that were appended, or may have been, and that nothing names.
 #[derive(Debug, Default)]
@@ -42,26 +42,26 @@
     /// Not to be dropped before.
     due: Time,
     /// What would need it after all.
-    unless: Unless,
+    needed_by: NeededBy,
 }
 
 /// What may need a record that was appended.
 #[derive(Clone, Debug)]
-enum Unless {
+enum NeededBy {
     /// Nothing.
-    Never,
+    Nothing,
     /// A job that names it in its head.
-    Named(String),
+    Reference(String),
     /// A job that is there.
-    There(String),
+    Job(String),
 }
 
 impl Orphans {
     /// Adds texts whose append got no answer; they are appended again under
     /// other keys.
     pub fn texts(&self, now: Time, part: usize, keys: impl IntoIterator<Item = String>) {
-        let due = now.after(LATE_MS);
-        let orphan = |key| Orphan { part, key, due, unless: Unless::Never };
+        let due = now.after(LATE_APPEND_MS);
+        let orphan = |key| Orphan { part, key, due, needed_by: NeededBy::Nothing };
         self.0.borrow_mut().extend(keys.into_iter().map(orphan));
     }
 
@@ -73,16 +73,16 @@
         job: &str,
         keys: impl IntoIterator<Item = String>,
     ) {
-        let due = now.after(LATE_MS);
-        let unless = || Unless::Named(job.to_owned());
-        let orphan = |key| Orphan { part, key, due, unless: unless() };
+        let due = now.after(LATE_APPEND_MS);
+        let needed_by = || NeededBy::Reference(job.to_owned());
+        let orphan = |key| Orphan { part, key, due, needed_by: needed_by() };
         self.0.borrow_mut().extend(keys.into_iter().map(orphan));
     }
 
     /// Notes that a job was not accepted and never will be.
     pub fn refused(&self, now: Time, job: &str) {
         for orphan in self.0.borrow_mut().iter_mut() {
-            if matches!(&orphan.unless, Unless::Named(other) if other == job) {
+            if matches!(&orphan.needed_by, NeededBy::Reference(other) if other == job) {
                 orphan.due = now;
             }
         }
@@ -90,15 +90,15 @@
 
     /// Adds the end of a job that is not known, and may be accepted late.
     pub fn end(&self, now: Time, part: usize, job: &str) {
-        let (due, unless) = (now.after(LATE_MS), Unless::There(job.to_owned()));
+        let (due, needed_by) = (now.after(LATE_APPEND_MS), NeededBy::Job(job.to_owned()));
         let key = batch::end_record(job).0;
-        self.0.borrow_mut().push(Orphan { part, key, due, unless });
+        self.0.borrow_mut().push(Orphan { part, key, due, needed_by });
     }
 }
 
 /// What one look found to be dropped in one partition.
 #[derive(Default)]
-struct Due {
+struct Deletions {
     keys: Keys,
     /// What is known of jobs once it is dropped.
     after: Vec<(String, Spare)>,
@@ -108,14 +108,14 @@
 
 /// Drops this instance's share of what is not needed until it stops.
 pub async fn serve(shared: Rc<Shared>) {
-    let mut spares: HashMap<String, Spare> = HashMap::new();
+    let mut garbage: HashMap<String, Spare> = HashMap::new();
     loop {
-        sleep(LOOK).await;
-        look(&shared, &mut spares);
+        sleep(SCAN_INTERVAL).await;
+        observe(&shared, &mut garbage);
         for part in 0..shared.partition_changed.len() {
-            let due = due(&shared, part, &spares);
-            match drop_due(&shared, part, &due).await {
-                Ok(()) => done(&shared, part, due, &mut spares),
+            let due = find_deletions(&shared, part, &garbage);
+            match delete(&shared, part, &due).await {
+                Ok(()) => record_deleted(&shared, part, due, &mut garbage),
                 Err(fault) => {
                     let count = due.keys.jobs.len() + due.keys.texts.len();
                     log::info!("{count} records of partition {part} are not dropped yet: {fault}");
@@ -126,34 +126,34 @@
 }
 
 /// Takes over what is to be seen of the jobs.
-fn look(shared: &Shared, spares: &mut HashMap<String, Spare>) {
+fn observe(shared: &Shared, garbage: &mut HashMap<String, Spare>) {
     let now = shared.now();
     let control = shared.control.borrow();
     let jobs = || control.partitions.iter().flat_map(|partition| &partition.index.jobs);
     for (id, job) in jobs() {
-        spares.entry(id.clone()).or_insert_with(|| Spare::new(now)).look(job, now);
+        garbage.entry(id.clone()).or_insert_with(|| Spare::new(now)).look(job, now);
     }
-    spares.retain(|id, _| {
+    garbage.retain(|id, _| {
         control.partitions.iter().any(|partition| partition.index.jobs.contains_key(id))
     });
 }
 
 /// Records of a partition that nothing needs and that fall to this instance.
-fn due(shared: &Shared, part: usize, spares: &HashMap<String, Spare>) -> Due {
+fn find_deletions(shared: &Shared, part: usize, garbage: &HashMap<String, Spare>) -> Deletions {
     let status_ms = shared.settings.times.status_ms();
     let (now, unix_ms, terms) = (shared.now(), unix_ms(), Terms { status_ms });
     let control = shared.control.borrow();
-    let mut due = Due::default();
+    let mut due = Deletions::default();
     let book = &control.partitions[part].index;
     for (id, job) in &book.jobs {
-        let Some(spare) = spares.get(id) else {
+        let Some(job_garbage) = garbage.get(id) else {
             continue;
         };
         let mut after_drop = None;
-        let keys = if spare.is_over(job, now, unix_ms, terms) {
+        let keys = if job_garbage.is_over(job, now, unix_ms, terms) {
             job.keys(id)
         } else {
-            let (keys, after) = spare.next(id, job, now);
+            let (keys, after) = job_garbage.next(id, job, now);
             after_drop = Some(after);
             keys
         };
@@ -178,23 +178,28 @@
     {
         due.orphans.push(orphan.key.clone());
         let key = orphan.key.clone();
-        match &orphan.unless {
-            Unless::Named(job) if is_named(book, job, &key) => {}
-            Unless::There(job) if book.jobs.contains_key(job) => {}
-            Unless::There(_) => due.keys.jobs.push(key),
-            Unless::Never | Unless::Named(_) => due.keys.texts.push(key),
+        match &orphan.needed_by {
+            NeededBy::Reference(job) if is_referenced(book, job, &key) => {}
+            NeededBy::Job(job) if book.jobs.contains_key(job) => {}
+            NeededBy::Job(_) => due.keys.jobs.push(key),
+            NeededBy::Nothing | NeededBy::Reference(_) => due.keys.texts.push(key),
         }
     }
     due
 }
 
-fn is_named(book: &Book, job: &str, key: &str) -> bool {
+fn is_referenced(book: &Book, job: &str, key: &str) -> bool {
     let job = book.jobs.get(job);
     job.is_some_and(|job| job.head.bundles.iter().any(|bundle| bundle.key == key))
 }
 
-fn done(shared: &Shared, part: usize, due: Due, spares: &mut HashMap<String, Spare>) {
-    spares.extend(due.after);
+fn record_deleted(
+    shared: &Shared,
+    part: usize,
+    due: Deletions,
+    garbage: &mut HashMap<String, Spare>,
+) {
+    garbage.extend(due.after);
     let mut orphans = shared.orphans.0.borrow_mut();
     orphans.retain(|orphan| orphan.part != part || !due.orphans.contains(&orphan.key));
     for id in due.over {
@@ -203,15 +208,15 @@
 }
 
 /// Drops texts first: what names them is there until they are gone.
-async fn drop_due(shared: &Rc<Shared>, part: usize, due: &Due) -> Result<(), StoreError> {
-    drop_keys(shared, &Partition::at(TEXTS, part), &due.keys.texts).await?;
+async fn delete(shared: &Rc<Shared>, part: usize, due: &Deletions) -> Result<(), StoreError> {
+    delete_keys(shared, &Partition::at(TEXTS, part), &due.keys.texts).await?;
     for job in &due.over {
-        sweep(shared, &Partition::at(TEXTS, part), job).await?;
+        delete_unreferenced_texts(shared, &Partition::at(TEXTS, part), job).await?;
     }
     let jobs = Partition::at(JOBS, part);
-    drop_keys(shared, &jobs, &due.keys.jobs).await?;
-    for some in due.keys.heads.chunks(AT_ONCE / 2) {
-        drop_keys(shared, &jobs, some.as_flattened()).await?;
+    delete_keys(shared, &jobs, &due.keys.jobs).await?;
+    for some in due.keys.heads.chunks(MAX_BATCH / 2) {
+        delete_keys(shared, &jobs, some.as_flattened()).await?;
     }
     Ok(())
 }
@@ -219,7 +224,11 @@
 /// Drops texts of a job that nothing names: an instance may have ended
 /// between a text's append and that of its result. What is known was dropped
 /// before, so that mostly nothing is left.
-async fn sweep(shared: &Rc<Shared>, part: &Partition, job: &str) -> Result<(), StoreError> {
+async fn delete_unreferenced_texts(
+    shared: &Rc<Shared>,
+    part: &Partition,
+    job: &str,
+) -> Result<(), StoreError> {
     let first = batch::first_key(job);
     let mut after = Some(first.clone());
     while let Some(from) = after {
@@ -229,17 +238,17 @@
         let own: Vec<String> = keys.filter(|key| key.starts_with(&first)).collect();
         // What sorts behind the job's keys belongs to others.
         after = page.after.filter(|_| own.len() == all);
-        drop_keys(shared, part, &own).await?;
+        delete_keys(shared, part, &own).await?;
     }
     Ok(())
 }
 
-async fn drop_keys(
+async fn delete_keys(
     shared: &Rc<Shared>,
     part: &Partition,
     keys: &[String],
 ) -> Result<(), StoreError> {
-    for some in keys.chunks(AT_ONCE) {
+    for some in keys.chunks(MAX_BATCH) {
         let records = some.iter().map(|key| (Some(key.clone()), Bytes::new())).collect();
         let (part, purpose) = (part.clone(), Use::Drop);
         shared.append(Append { part, records, expected_end: None, purpose }).await?;
--- a/crates/hollywell/src/entry/hints.rs
+++ b/crates/hollywell/src/entry/hints.rs
@@ -20,11 +20,11 @@
 /// The topic.
 const TOPIC: &str = "news";
 /// Least time between reads.
-const PAUSE: Duration = Duration::from_millis(50);
+const READ_INTERVAL: Duration = Duration::from_millis(50);
 
 /// A piece of news.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum News {
+pub enum Hint {
     /// An engine has loaded what it was ordered to. It announces that too,
     /// but up to a heartbeat later, and a step waits for it.
     Loaded(Order),
@@ -47,13 +47,13 @@
 
 /// Tells all instances something. Who misses it learns the same from the
 /// records that it is about, a little later.
-pub async fn tell(shared: &Rc<Shared>, news: &News) {
-    let value = serde_json::to_vec(news).unwrap_or_default();
+pub async fn publish(shared: &Rc<Shared>, hint: &Hint) {
+    let value = serde_json::to_vec(hint).unwrap_or_default();
     let records = vec![(None, value.into())];
     let (part, purpose) = (Partition::new(TOPIC, 0), Use::News);
     match shared.append(Append { part, records, expected_end: None, purpose }).await {
         Ok(_) => {}
-        Err(fault) => log::info!("telling {news:?}: {fault}"),
+        Err(fault) => log::info!("publishing the hint {hint:?}: {fault}"),
     }
 }
 
@@ -63,26 +63,26 @@
     follow::follow(
         shared,
         part,
-        |_| PAUSE,
+        |_| READ_INTERVAL,
         None,
         false,
         |shared, records, _| {
             for record in &records.records {
                 let value = record.value.clone().unwrap_or_default();
                 match serde_json::from_slice(&value) {
-                    Ok(News::Loaded(load)) => {
+                    Ok(Hint::Loaded(load)) => {
                         let fleet = &mut shared.control.borrow_mut().fleet;
                         fleet.answered(&load.target, load.born, &load.model, load.version);
                     }
-                    Ok(News::Trimmed { part, texts, before }) => {
-                        capacity::trimmed(shared, part, usize::from(texts), before);
+                    Ok(Hint::Trimmed { part, texts, before }) => {
+                        capacity::record_trim(shared, part, usize::from(texts), before);
                     }
-                    Ok(News::Accepted { part }) => {
+                    Ok(Hint::Accepted { part }) => {
                         if let Some(accepted) = shared.job_accepted.get(part) {
                             accepted.notify_one();
                         }
                     }
-                    Err(error) => log::warn!("news at {} skipped: {error}", record.offset),
+                    Err(error) => log::warn!("hint at {} skipped: {error}", record.offset),
                 }
             }
             if !records.records.is_empty() {
--- a/crates/hollywell/src/entry/jobs.rs
+++ b/crates/hollywell/src/entry/jobs.rs
@@ -26,7 +26,7 @@
         dialect::{Delivered, Results},
         ends,
         forward::{self, Plain, Verdict},
-        hints::{self, News},
+        hints::{self, Hint},
         samples,
         shared::{JOBS, Shared, unix_ms},
         store::{Append, Partition, Read, StoreError},
@@ -151,7 +151,7 @@
         tokio::task::spawn_local(unbegun::watch(shared.clone(), part, job.to_owned()));
         let shared = shared.clone();
         tokio::task::spawn_local(async move {
-            hints::tell(&shared, &News::Accepted { part }).await;
+            hints::publish(&shared, &Hint::Accepted { part }).await;
         });
     }
     kept
@@ -419,11 +419,11 @@
     };
     match ended {
         None if current => {
-            ends::leave(shared, job);
+            ends::store_early_end(shared, job);
             Reply::Missing
         }
         Some(true) => Reply::Done,
-        known => ends::ask(shared, job, known.is_some()).await,
+        known => ends::end_job(shared, job, known.is_some()).await,
     }
 }
 
--- a/crates/hollywell/src/entry/lease.rs
+++ b/crates/hollywell/src/entry/lease.rs
@@ -27,16 +27,16 @@
 /// holder that died waits for so long, and long enough for some lost calls.
 const TERM_MS: u64 = 1_800;
 /// Time between a holder's claims; the others read them as they come.
-const RENEW: Duration = Duration::from_millis(400);
+const RENEW_INTERVAL: Duration = Duration::from_millis(400);
 
 /// A lease as one instance sees it.
 #[derive(Debug)]
 pub(super) struct Lease {
     part: Partition,
     /// What it is on, for logs.
-    what: String,
+    subject: String,
     terms: Terms,
-    tenure: RefCell<Tenure>,
+    state: RefCell<Tenure>,
     /// There is something to do for its holder.
     wanted: Cell<bool>,
     /// Told when a claim must come before the next regular one.
@@ -45,13 +45,13 @@
 
 impl Lease {
     /// A lease that nobody is known to hold.
-    pub(super) fn new(shared: &Shared, part: Partition, what: &str) -> Rc<Lease> {
+    pub(super) fn new(shared: &Shared, part: Partition, subject: &str) -> Rc<Lease> {
         let apart_ms = u64::try_from(shared.settings.times.lease.as_millis()).unwrap_or(u64::MAX);
         Rc::new(Lease {
             part,
-            what: what.to_owned(),
+            subject: subject.to_owned(),
             terms: Terms { term_ms: TERM_MS, apart_ms },
-            tenure: RefCell::default(),
+            state: RefCell::default(),
             wanted: Cell::new(false),
             urgent: Notify::new(),
         })
@@ -59,32 +59,32 @@
 
     /// Whether this instance holds it, as far as it knows.
     pub(super) fn is_held(&self) -> bool {
-        self.tenure.borrow().is_held()
+        self.state.borrow().is_held()
     }
 
     /// Says whether there is something to do.
-    pub(super) fn want(&self, wanted: bool) {
+    pub(super) fn set_wanted(&self, wanted: bool) {
         self.wanted.set(wanted);
-        if wanted && self.tenure.borrow().must_announce() {
+        if wanted && self.state.borrow().must_announce() {
             self.urgent.notify_one();
         }
     }
 
     /// The fencing number, if a call that starts now and takes at most `call`
     /// ends within the lease.
-    pub(super) fn fence(&self, shared: &Shared, call: Duration) -> Option<u64> {
+    pub(super) fn fencing_token(&self, shared: &Shared, call: Duration) -> Option<u64> {
         let margin_ms = u64::try_from(call.as_millis()).unwrap_or_default();
-        self.tenure.borrow().fence(shared.now(), margin_ms)
+        self.state.borrow().fence(shared.now(), margin_ms)
     }
 
     /// Notes that a call goes out under the fencing number.
-    pub(super) fn used(&self, shared: &Shared) {
-        self.tenure.borrow_mut().ordered(shared.now());
+    pub(super) fn record_use(&self, shared: &Shared) {
+        self.state.borrow_mut().ordered(shared.now());
     }
 
     /// Gives the lease up, if it is held.
-    pub(super) async fn give_up(&self, shared: &Rc<Shared>) {
-        let released = self.tenure.borrow().release(&shared.instance_id, shared.now());
+    pub(super) async fn release(&self, shared: &Rc<Shared>) {
+        let released = self.state.borrow().release(&shared.instance_id, shared.now());
         if let Some(claim) = released {
             self.append(shared, claim).await;
         }
@@ -92,7 +92,7 @@
 
     /// Keeps the lease up, or waits for its holder to fall silent or give it
     /// up, for as long as the instance is a candidate.
-    pub(super) async fn keep(
+    pub(super) async fn maintain(
         self: Rc<Lease>,
         shared: Rc<Shared>,
         is_candidate: impl Fn(&Shared) -> bool,
@@ -101,7 +101,7 @@
         while !*stop.borrow() {
             if !self.is_held() {
                 if !is_candidate(&shared) {
-                    sleep(RENEW).await;
+                    sleep(RENEW_INTERVAL).await;
                     continue;
                 }
                 self.read(&shared).await;
@@ -109,46 +109,46 @@
             self.claim(&shared).await;
             if self.is_held() {
                 tokio::select! {
-                    () = sleep(RENEW) => {}
+                    () = sleep(RENEW_INTERVAL) => {}
                     () = self.urgent.notified() => {}
                     _ = stop.changed() => {}
                 }
             }
         }
-        self.give_up(&shared).await;
+        self.release(&shared).await;
     }
 
     async fn read(&self, shared: &Rc<Shared>) {
-        let from = self.tenure.borrow().end;
-        let read = Read { part: self.part.clone(), from, wait: RENEW, max_kb: None };
+        let from = self.state.borrow().end;
+        let read = Read { part: self.part.clone(), from, wait: RENEW_INTERVAL, max_kb: None };
         match shared.reader.read(read).await {
             Ok(records) => {
                 shared.record_store_result(true);
-                let mut tenure = self.tenure.borrow_mut();
+                let mut state = self.state.borrow_mut();
                 for record in &records.records {
                     let value = record.value.clone().unwrap_or_default();
                     match serde_json::from_slice::<Claim>(&value) {
                         Ok(claim) => {
-                            tenure.read(&shared.instance_id, shared.now(), record.offset, &claim)
+                            state.read(&shared.instance_id, shared.now(), record.offset, &claim)
                         }
                         Err(error) => log::warn!("claim at {} skipped: {error}", record.offset),
                     }
                 }
-                tenure.read_to(records.end);
+                state.read_to(records.end);
             }
-            Err(StoreError::Trimmed(first)) => self.tenure.borrow_mut().end = first,
+            Err(StoreError::Trimmed(first)) => self.state.borrow_mut().end = first,
             Err(fault) => {
                 shared.record_store_result(false);
-                log::info!("reading the lease of {}: {fault}", self.what);
-                sleep(RENEW).await;
+                log::info!("reading the lease of {}: {fault}", self.subject);
+                sleep(RENEW_INTERVAL).await;
             }
         }
     }
 
     async fn claim(&self, shared: &Rc<Shared>) {
         let claim = {
-            let tenure = self.tenure.borrow();
-            tenure.claim(
+            let state = self.state.borrow();
+            state.claim(
                 &shared.instance_id,
                 shared.now(),
                 self.terms,
@@ -164,15 +164,15 @@
     async fn append(&self, shared: &Rc<Shared>, claim: Claim) {
         let sent = shared.now();
         let value = Bytes::from(serde_json::to_vec(&claim).unwrap_or_default());
-        let expected_end = Some(self.tenure.borrow().end);
+        let expected_end = Some(self.state.borrow().end);
         let (part, records) = (self.part.clone(), vec![(None, value)]);
         let append = Append { part, records, expected_end, purpose: Use::Claim };
         match shared.append(append).await {
             Ok(appended) => {
                 if claim.renews.is_none() {
-                    log::info!("lease of {} granted, fence {}", self.what, appended.offset);
+                    log::info!("lease of {} granted, fence {}", self.subject, appended.offset);
                 }
-                self.tenure.borrow_mut().granted(sent, appended.offset, &claim, self.terms);
+                self.state.borrow_mut().granted(sent, appended.offset, &claim, self.terms);
             }
             Err(StoreError::EndMismatch(_)) => {
                 // Whose claim came first, or whether it was one of this
@@ -180,7 +180,7 @@
                 self.read(shared).await;
             }
             Err(fault) => {
-                log::info!("claiming the lease of {}: {fault}", self.what);
+                log::info!("claiming the lease of {}: {fault}", self.subject);
                 sleep(CLAIM_RETRY).await;
             }
         }
--- a/crates/hollywell/src/entry/member.rs
+++ b/crates/hollywell/src/entry/member.rs
@@ -34,34 +34,34 @@
 /// Where peers ask for the members; a mark of those that they know follows.
 pub const PATH: &str = "/members/";
 /// Time between calls that keep the member in the group.
-const BEAT: Duration = Duration::from_millis(300);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(300);
 /// How long a member lasts without one: a few lost calls must not end it,
 /// and the work of one that died waits for so long.
 const TTL: Duration = Duration::from_millis(1_400);
 /// Time between readings of the members while nothing changes.
-const LOOK: Duration = Duration::from_millis(900);
+const READ_INTERVAL: Duration = Duration::from_millis(900);
 /// Least time between readings: a change mostly comes with others.
-const LOOK_LEAST: Duration = Duration::from_millis(100);
+const MIN_READ_INTERVAL: Duration = Duration::from_millis(100);
 /// Readers up to which the group is read as often as that; with more, less
 /// often in proportion.
-const LOOK_MEMBERS: f64 = 30.0;
+const READERS_AT_FULL_RATE: f64 = 30.0;
 /// Spread of the pauses between readings.
-const SPREAD: std::ops::RangeInclusive<f64> = 0.7..=1.3;
+const JITTER: std::ops::RangeInclusive<f64> = 0.7..=1.3;
 /// How long whoever asks is kept while its members are the ones known here.
-const WAIT: Duration = Duration::from_millis(400);
+const LONG_POLL: Duration = Duration::from_millis(400);
 /// Silence after which another instance is asked, or the store.
-const SILENCE: Duration = Duration::from_millis(700);
+const IDLE_TIMEOUT: Duration = Duration::from_millis(700);
 /// Age from which on a reading is of no use, in milliseconds: the member that
 /// it still shows has been gone for longer than [`TTL`] and two looks.
-const MOST_AGE_MS: u64 = 6_000;
+const MAX_AGE_MS: u64 = 6_000;
 /// Largest answer of a peer: some thousand names.
-const ANSWER_BYTES: usize = 1 << 20;
+const MAX_RESPONSE_BYTES: usize = 1 << 20;
 /// Members that a line of log names at most, of those that came or went.
-const NAMED: usize = 5;
+const MAX_LOGGED_MEMBERS: usize = 5;
 
 /// What one instance tells another of the group.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
-struct Word {
+struct MemberList {
     /// How long ago the store was asked, in milliseconds.
     #[prost(uint64, tag = "1")]
     age_ms: u64,
@@ -80,15 +80,15 @@
 #[derive(Debug, Default)]
 pub struct Membership {
     /// When the store was asked for what is known.
-    known_at: Cell<Option<Time>>,
+    read_at: Cell<Option<Time>>,
     /// The members were taken anew.
     changed: Notify,
     /// It was logged that some may not show.
-    full: Cell<bool>,
+    full_logged: Cell<bool>,
 }
 
 /// Stays in the group until the instance stops.
-pub async fn stay(shared: Rc<Shared>) {
+pub async fn heartbeat(shared: Rc<Shared>) {
     let ttl = TTL.max(shared.settings.store.ttl_min);
     let mut generation = 0;
     let mut stop = shared.stop.subscribe();
@@ -117,7 +117,7 @@
             }
         }
         tokio::select! {
-            () = sleep(BEAT) => {}
+            () = sleep(HEARTBEAT_INTERVAL) => {}
             _ = stop.changed() => {}
         }
     }
@@ -134,50 +134,50 @@
 
 /// Reads who is in the group: as often as it takes to notice by itself, and
 /// at once where the group's generation says that something changed.
-pub async fn watch(shared: Rc<Shared>) {
+pub async fn follow_members(shared: Rc<Shared>) {
     let mut failures = 0;
     loop {
-        if follow(&shared).await {
-            sleep(LOOK_LEAST).await;
+        if read_from_source(&shared).await {
+            sleep(MIN_READ_INTERVAL).await;
             continue;
         }
-        let asked_at = shared.now();
+        let requested_at = shared.now();
         match shared.reader.members(GROUP.to_owned()).await {
             Ok(listing) => {
                 shared.record_store_result(true);
                 failures = 0;
-                note(&shared, &listing);
-                take(&shared, &listing.members, asked_at);
+                record_census(&shared, &listing);
+                apply_members(&shared, &listing.members, requested_at);
             }
             Err(fault) => {
                 shared.record_store_result(false);
                 log::info!("reading the group: {fault}");
                 failures += 1;
-                shared.reader.pause(failures).await;
+                shared.reader.back_off(failures).await;
             }
         }
-        pause(&shared).await;
+        wait_for_next_read(&shared).await;
     }
 }
 
 /// Waits until the group is to be read again.
-async fn pause(shared: &Shared) {
+async fn wait_for_next_read(shared: &Shared) {
     let is_unsettled = {
         let control = shared.control.borrow();
         control.roster.is_unsettled() || !control.census.is_settled()
     };
     // A reading lists every partition, and all readers share the store.
-    let crowd = (feed::readers(shared) as f64 / LOOK_MEMBERS).max(1.0);
+    let crowd = (feed::readers(shared) as f64 / READERS_AT_FULL_RATE).max(1.0);
     // All instances that start together read it again, but not all at once.
-    sleep(LOOK_LEAST.mul_f64(crowd * rand::random_range(SPREAD))).await;
+    sleep(MIN_READ_INTERVAL.mul_f64(crowd * rand::random_range(JITTER))).await;
     if !is_unsettled {
-        let rest = (LOOK - LOOK_LEAST).mul_f64(crowd);
+        let rest = (READ_INTERVAL - MIN_READ_INTERVAL).mul_f64(crowd);
         let _either = timeout(rest, shared.group_changed.notified()).await;
     }
 }
 
 /// Notes how many members a reading of the store shows, of how many may.
-fn note(shared: &Shared, listing: &Listing) {
+fn record_census(shared: &Shared, listing: &Listing) {
     let is_full = {
         let control = &mut *shared.control.borrow_mut();
         control.census.read(listing.members.len(), listing.partitions);
@@ -185,7 +185,7 @@
         control.roster.is_of_full_group(is_full);
         is_full
     };
-    if is_full && !shared.membership.full.replace(true) {
+    if is_full && !shared.membership.full_logged.replace(true) {
         let most = listing.partitions;
         log::warn!("the group shows {most} instances at most: others run no samples");
     }
@@ -193,21 +193,21 @@
 
 /// Takes the members from an instance that reads them for others; returns
 /// whether that went well.
-async fn follow(shared: &Rc<Shared>) -> bool {
+async fn read_from_source(shared: &Rc<Shared>) -> bool {
     if !shared.control.borrow().census.is_settled() {
         return false;
     }
     for source in feed::sources(shared) {
-        let asked_at = shared.now();
-        match ask(shared, &source).await {
-            Ok(word) => {
+        let requested_at = shared.now();
+        match fetch(shared, &source).await {
+            Ok(list) => {
                 let known = {
                     let control = &mut *shared.control.borrow_mut();
-                    control.roster.is_of_full_group(word.full);
+                    control.roster.is_of_full_group(list.full);
                     control.roster.members().to_vec()
                 };
-                let members = if word.members.is_empty() { known } else { word.members };
-                take(shared, &members, Time(asked_at.0.saturating_sub(word.age_ms)));
+                let members = if list.members.is_empty() { known } else { list.members };
+                apply_members(shared, &members, Time(requested_at.0.saturating_sub(list.age_ms)));
                 return true;
             }
             Err(why) => log::info!("the members are not to be had from {source}: {why}"),
@@ -216,56 +216,57 @@
     false
 }
 
-async fn ask(shared: &Rc<Shared>, source: &str) -> Result<Word, String> {
-    let known = mark(shared.control.borrow().roster.members());
-    let answer = peers::get(shared, source, &format!("{PATH}{known}"), SILENCE).await?;
+async fn fetch(shared: &Rc<Shared>, source: &str) -> Result<MemberList, String> {
+    let known = fingerprint(shared.control.borrow().roster.members());
+    let answer = peers::get(shared, source, &format!("{PATH}{known}"), IDLE_TIMEOUT).await?;
     let status = answer.head.status;
-    let body = answer.whole(ANSWER_BYTES, SILENCE).await.map_err(|error| error.to_string())?;
+    let body =
+        answer.whole(MAX_RESPONSE_BYTES, IDLE_TIMEOUT).await.map_err(|error| error.to_string())?;
     if status != StatusCode::OK {
         return Err(status.to_string());
     }
-    let word = Word::decode(body).map_err(|error| error.to_string())?;
-    let told = if word.members.is_empty() { known } else { mark(&word.members) };
-    if told != word.mark {
-        return Err(format!("{} members marked {}, not {told}", word.members.len(), word.mark));
+    let list = MemberList::decode(body).map_err(|error| error.to_string())?;
+    let told = if list.members.is_empty() { known } else { fingerprint(&list.members) };
+    if told != list.mark {
+        return Err(format!("{} members marked {}, not {told}", list.members.len(), list.mark));
     }
-    if word.age_ms > MOST_AGE_MS {
-        return Err(format!("they were read {} ms ago, more than {MOST_AGE_MS}", word.age_ms));
+    if list.age_ms > MAX_AGE_MS {
+        return Err(format!("they were read {} ms ago, more than {MAX_AGE_MS}", list.age_ms));
     }
-    Ok(word)
+    Ok(list)
 }
 
 /// Tells a peer the members, once they are others than those that it knows.
-pub(super) async fn answer(shared: &Rc<Shared>, path: &str) -> Response<Full<Bytes>> {
+pub(super) async fn respond(shared: &Rc<Shared>, path: &str) -> Response<Full<Bytes>> {
     let Some(known) = path.strip_prefix(PATH).and_then(|mark| mark.parse::<u64>().ok()) else {
-        return peers::nothing(StatusCode::NOT_FOUND);
+        return peers::empty_response(StatusCode::NOT_FOUND);
     };
-    let until = Instant::now() + WAIT;
+    let until = Instant::now() + LONG_POLL;
     loop {
         let changed = shared.membership.changed.notified();
-        let Some(known_at) = shared.membership.known_at.get() else {
-            return peers::nothing(StatusCode::SERVICE_UNAVAILABLE);
+        let Some(read_at) = shared.membership.read_at.get() else {
+            return peers::empty_response(StatusCode::SERVICE_UNAVAILABLE);
         };
         let (members, full) = {
             let control = shared.control.borrow();
             (control.roster.members().to_vec(), control.census.is_full())
         };
-        let (mark, age_ms) = (mark(&members), shared.now().since(known_at));
+        let (mark, age_ms) = (fingerprint(&members), shared.now().since(read_at));
         if mark != known {
             return Response::new(Full::new(
-                Word { age_ms, mark, members, full }.encode_to_vec().into(),
+                MemberList { age_ms, mark, members, full }.encode_to_vec().into(),
             ));
         }
         if timeout_at(until, changed).await.is_err() {
-            let age_ms = shared.now().since(known_at);
-            let word = Word { age_ms, mark, members: vec![], full };
-            return Response::new(Full::new(word.encode_to_vec().into()));
+            let age_ms = shared.now().since(read_at);
+            let list = MemberList { age_ms, mark, members: vec![], full };
+            return Response::new(Full::new(list.encode_to_vec().into()));
         }
     }
 }
 
 /// Marks a list of members.
-fn mark(members: &[String]) -> u64 {
+fn fingerprint(members: &[String]) -> u64 {
     let mut hash = xxhash_rust::xxh3::Xxh3Default::new();
     for member in members {
         hash.update(member.as_bytes());
@@ -274,7 +275,7 @@
     hash.digest()
 }
 
-fn take(shared: &Rc<Shared>, read: &[String], asked_at: Time) {
+fn apply_members(shared: &Rc<Shared>, read: &[String], requested_at: Time) {
     let now = shared.now();
     let (before, changed) = {
         let control = &mut *shared.control.borrow_mut();
@@ -282,9 +283,9 @@
         let changed = control.roster.read(now, read, control.fleet.store_back_at);
         (before, changed.then(|| control.roster.members().to_vec()))
     };
-    shared.membership.known_at.set(Some(asked_at));
+    shared.membership.read_at.set(Some(requested_at));
     if let Some(members) = changed {
-        shared.reader.shared_by(members.len());
+        shared.reader.set_instance_count(members.len());
         log::info!("{}", changes(&before, &members));
         shared.handle_event(&Event::Members(members));
         shared.membership.changed.notify_waiters();
@@ -296,8 +297,9 @@
 /// what an instance writes. Both lists are sorted.
 fn changes(before: &[String], members: &[String]) -> String {
     let named = |some: Vec<&String>| {
-        let more = some.len().saturating_sub(NAMED);
-        let first: Vec<&str> = some.into_iter().take(NAMED).map(String::as_str).collect();
+        let more = some.len().saturating_sub(MAX_LOGGED_MEMBERS);
+        let first: Vec<&str> =
+            some.into_iter().take(MAX_LOGGED_MEMBERS).map(String::as_str).collect();
         let more = if more > 0 { format!(" and {more} more") } else { String::new() };
         format!("{}{more}", first.join(" "))
     };
--- a/crates/hollywell/src/entry/orders.rs
+++ b/crates/hollywell/src/entry/orders.rs
@@ -18,7 +18,7 @@
     },
     entry::{
         dialect::VersionOrder,
-        hints::{self, News},
+        hints::{self, Hint},
         lease::Lease,
         shared::{Control, Shared},
         store::Partition,
@@ -31,22 +31,22 @@
 /// the time, and the store's rate is everybody's.
 const CANDIDATES: usize = 4;
 /// Time between looks at what is to be ordered.
-const TICK: Duration = Duration::from_millis(100);
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
 /// A look takes one part of the time in so many at most: it grows with the
 /// engines, and whoever looks serves callers too.
-const LOOK_PART: u32 = 5;
+const DUTY_CYCLE: u32 = 5;
 /// Time that one call to an engine may take.
-const CALL: Duration = Duration::from_millis(600);
+const CALL_TIMEOUT: Duration = Duration::from_millis(600);
 /// First look whether a load is done; it takes 0.9 s alone.
-const LOADED: Duration = Duration::from_millis(920);
+const FIRST_LOAD_CHECK: Duration = Duration::from_millis(920);
 /// Time between later looks.
-const LOADED_PAUSE: Duration = Duration::from_millis(300);
+const LOAD_CHECK_INTERVAL: Duration = Duration::from_millis(300);
 /// Later looks.
-const LOADED_LOOKS: u32 = 6;
+const LOAD_CHECKS: u32 = 6;
 /// Largest report.
-const REPORT_BYTES: usize = 1 << 20;
+const MAX_REPORT_BYTES: usize = 1 << 20;
 
-struct Office {
+struct OrderIssuer {
     lease: Rc<Lease>,
     roll: RefCell<roll::State>,
 }
@@ -58,16 +58,16 @@
     let number = shared.settings.domains.iter().position(|name| *name == domain);
     let part = Partition::at(LEASES, number.unwrap_or_default());
     let lease = Lease::new(&shared, part, &domain);
-    tokio::task::spawn_local(lease.clone().keep(shared.clone(), is_candidate));
-    let office = Rc::new(Office { lease, roll: RefCell::default() });
-    let mut pause = TICK;
+    tokio::task::spawn_local(lease.clone().maintain(shared.clone(), is_candidate));
+    let issuer = Rc::new(OrderIssuer { lease, roll: RefCell::default() });
+    let mut interval = TICK_INTERVAL;
     loop {
-        sleep(pause).await;
+        sleep(interval).await;
         let started = Instant::now();
         if !shared.control.borrow().stopping {
-            give(&shared, &office, &domain);
+            issue_orders(&shared, &issuer, &domain);
         }
-        pause = TICK.max(started.elapsed() * LOOK_PART);
+        interval = TICK_INTERVAL.max(started.elapsed() * DUTY_CYCLE);
     }
 }
 
@@ -80,32 +80,32 @@
     all.is_empty() || all.contains(&shared.instance_id.as_str())
 }
 
-fn give(shared: &Rc<Shared>, office: &Rc<Office>, domain: &str) {
+fn issue_orders(shared: &Rc<Shared>, issuer: &Rc<OrderIssuer>, domain: &str) {
     let now = shared.now();
-    if !office.lease.is_held() {
+    if !issuer.lease.is_held() {
         return;
     }
     {
         let control = shared.control.borrow();
-        office.lease.want(roll::is_due(domain, &control.models, &control.fleet));
+        issuer.lease.set_wanted(roll::is_due(domain, &control.models, &control.fleet));
     }
     // Orders may be given only if a call started now ends within the lease.
-    if office.lease.fence(shared, CALL).is_none() {
+    if issuer.lease.fencing_token(shared, CALL_TIMEOUT).is_none() {
         return;
     }
     let orders = {
         let control = &mut *shared.control.borrow_mut();
-        control.models.steps = steps(control);
-        let mut roll = office.roll.borrow_mut();
+        control.models.steps = open_steps(control);
+        let mut roll = issuer.roll.borrow_mut();
         roll.step(now, domain, &control.models, &control.fleet, &control.observations)
     };
     for order in orders {
-        tokio::task::spawn_local(carry_out(shared.clone(), office.clone(), order));
+        tokio::task::spawn_local(execute(shared.clone(), issuer.clone(), order));
     }
 }
 
 /// The steps that are open, by model.
-fn steps(control: &Control) -> BTreeMap<String, Vec<Step>> {
+fn open_steps(control: &Control) -> BTreeMap<String, Vec<Step>> {
     let mut steps: BTreeMap<String, Vec<Step>> = BTreeMap::new();
     let jobs = control.partitions.iter().flat_map(|partition| &partition.index.jobs);
     for (id, job) in jobs {
@@ -119,29 +119,29 @@
     steps
 }
 
-async fn carry_out(shared: Rc<Shared>, office: Rc<Office>, order: Order) {
-    let Some(report) = report(&shared, &order.target).await else {
-        office.roll.borrow_mut().failed(&order.target);
+async fn execute(shared: Rc<Shared>, issuer: Rc<OrderIssuer>, order: Order) {
+    let Some(report) = fetch_report(&shared, &order.target).await else {
+        issuer.roll.borrow_mut().failed(&order.target);
         return;
     };
-    note(&shared, &order, &report);
+    apply_report(&shared, &order, &report);
     let has = report.versions.get(&order.model).copied();
     if has >= Some(order.version) {
         return;
     }
     if !report.busy {
-        let Some(fence) = office.lease.fence(&shared, CALL) else {
+        let Some(fence) = issuer.lease.fencing_token(&shared, CALL_TIMEOUT) else {
             return;
         };
-        let asked = VersionOrder {
+        let version_order = VersionOrder {
             model: order.model.clone(),
             version: order.version,
             holder: shared.instance_id.clone(),
             fence,
             expected: report.orders,
         };
-        let (path, body) = (shared.dialect.order)(&asked);
-        office.lease.used(&shared);
+        let (path, body) = (shared.dialect.order)(&version_order);
+        issuer.lease.record_use(&shared);
         let status = call(&shared, &order.target, http::Method::POST, path, body).await;
         let status = status.map(|(status, _)| status.as_u16());
         log::info!(
@@ -154,26 +154,26 @@
         if !matches!(status, Some(200 | 202)) {
             // An order without an answer may still be carried out: the next
             // report tells.
-            sleep(LOADED_PAUSE).await;
-            office.roll.borrow_mut().failed(&order.target);
+            sleep(LOAD_CHECK_INTERVAL).await;
+            issuer.roll.borrow_mut().failed(&order.target);
             return;
         }
     }
-    sleep(LOADED).await;
-    for _ in 0..LOADED_LOOKS {
-        if let Some(report) = self::report(&shared, &order.target).await {
-            note(&shared, &order, &report);
+    sleep(FIRST_LOAD_CHECK).await;
+    for _ in 0..LOAD_CHECKS {
+        if let Some(report) = fetch_report(&shared, &order.target).await {
+            apply_report(&shared, &order, &report);
             if report.versions.get(&order.model).copied() >= Some(order.version) {
-                hints::tell(&shared, &News::Loaded(order)).await;
+                hints::publish(&shared, &Hint::Loaded(order)).await;
                 return;
             }
         }
-        sleep(LOADED_PAUSE).await;
+        sleep(LOAD_CHECK_INTERVAL).await;
     }
-    office.roll.borrow_mut().failed(&order.target);
+    issuer.roll.borrow_mut().failed(&order.target);
 }
 
-fn note(shared: &Shared, order: &Order, report: &crate::entry::dialect::Report) {
+fn apply_report(shared: &Shared, order: &Order, report: &crate::entry::dialect::Report) {
     let control = &mut *shared.control.borrow_mut();
     if control.fleet.started(&order.target, report.born)
         && let Some(address) = control.fleet.targets.get(&order.target).map(|t| t.said.address)
@@ -186,7 +186,7 @@
     }
 }
 
-async fn report(shared: &Rc<Shared>, target: &str) -> Option<crate::entry::dialect::Report> {
+async fn fetch_report(shared: &Rc<Shared>, target: &str) -> Option<crate::entry::dialect::Report> {
     let path = shared.dialect.report_path;
     let (status, body) = call(shared, target, http::Method::GET, path, Bytes::new()).await?;
     if !status.is_success() {
@@ -220,7 +220,7 @@
         .header(&shared.dialect.headers.target, target)
         .body(Full::new(body))
         .ok()?;
-    let answer = match shared.pool.send(address, request, CALL).await {
+    let answer = match shared.pool.send(address, request, CALL_TIMEOUT).await {
         Ok(answer) => answer,
         Err(error) => {
             log::info!("call {path} to {target}: {error}");
@@ -228,6 +228,6 @@
         }
     };
     let status = answer.head.status;
-    let body = answer.whole(REPORT_BYTES, CALL).await.ok()?;
+    let body = answer.whole(MAX_REPORT_BYTES, CALL_TIMEOUT).await.ok()?;
     Some((status, body))
 }
--- a/crates/hollywell/src/entry/peers.rs
+++ b/crates/hollywell/src/entry/peers.rs
@@ -25,14 +25,14 @@
 };
 
 /// How long a peer's connection may be idle.
-const IDLE: Duration = Duration::from_secs(15);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 /// Time that telling a peer may take. It is told again where it did not
 /// confirm.
-const TELL: Duration = Duration::from_millis(600);
+const POST_TIMEOUT: Duration = Duration::from_millis(600);
 /// Most bytes of a peer's word, and of the answer to one: some hundred ids.
-const WORD_BYTES: usize = 1 << 20;
+const MAX_MESSAGE_BYTES: usize = 1 << 20;
 /// Pause after a connection could not be accepted.
-const RETRY: Duration = Duration::from_millis(50);
+const ACCEPT_RETRY: Duration = Duration::from_millis(50);
 
 /// Tells a member of the group something.
 ///
@@ -45,10 +45,10 @@
     path: &str,
     body: Bytes,
 ) -> Result<(), String> {
-    let answer = send(shared, member, Request::post(path), body, TELL).await?;
+    let answer = send(shared, member, Request::post(path), body, POST_TIMEOUT).await?;
     let status = answer.head.status;
     // Read to its end, so that the connection can be kept.
-    let read = answer.whole(WORD_BYTES, TELL).await;
+    let read = answer.whole(MAX_MESSAGE_BYTES, POST_TIMEOUT).await;
     read.map_err(|error| error.to_string())?;
     if status == StatusCode::OK { Ok(()) } else { Err(status.to_string()) }
 }
@@ -82,11 +82,11 @@
 }
 
 /// Some of the other members of the group, so many at most.
-pub(super) fn some(shared: &Shared, most: usize) -> Vec<String> {
+pub(super) fn random_peers(shared: &Shared, max: usize) -> Vec<String> {
     let control = shared.control.borrow();
     let others = control.roster.members().iter().filter(|member| **member != shared.instance_id);
     let others: Vec<&String> = others.collect();
-    others.choose_multiple(&mut rand::rng(), most).map(|peer| (*peer).clone()).collect()
+    others.choose_multiple(&mut rand::rng(), max).map(|peer| (*peer).clone()).collect()
 }
 
 /// Serves peers until the process ends.
@@ -98,7 +98,7 @@
             }
             Err(error) => {
                 log::warn!("accepting a peer's connection: {error}");
-                sleep(RETRY).await;
+                sleep(ACCEPT_RETRY).await;
             }
         }
     }
@@ -107,32 +107,34 @@
 async fn connection(shared: Rc<Shared>, stream: TcpStream) {
     let service = service_fn(|request| {
         let shared = shared.clone();
-        async move { Ok::<_, Infallible>(answer(&shared, request).await) }
+        async move { Ok::<_, Infallible>(respond(&shared, request).await) }
     });
     let mut builder = http1::Builder::new();
-    builder.timer(TokioTimer::new()).header_read_timeout(IDLE);
+    builder.timer(TokioTimer::new()).header_read_timeout(IDLE_TIMEOUT);
     if let Err(error) = builder.serve_connection(TokioIo::new(stream), service).await {
         log::debug!("a peer's connection ended: {error}");
     }
 }
 
-async fn answer(shared: &Rc<Shared>, request: Request<Incoming>) -> Response<Full<Bytes>> {
+async fn respond(shared: &Rc<Shared>, request: Request<Incoming>) -> Response<Full<Bytes>> {
     let path = request.uri().path().to_owned();
     match *request.method() {
-        Method::POST if path == ends::PATH => ends::hear(shared, request).await,
-        Method::POST if path == suspects::PATH => suspects::hear(shared, request).await,
-        Method::POST if path == suspects::TURN_PATH => suspects::hear_turn(shared, request).await,
-        Method::POST if path == usage::PATH => usage::hear(shared, request).await,
-        Method::GET if path.starts_with(feed::PATH) => feed::answer(shared, &path).await,
-        Method::GET if path.starts_with(relay::PATH) => relay::answer(shared, &path).await,
-        Method::GET if path.starts_with(member::PATH) => member::answer(shared, &path).await,
+        Method::POST if path == ends::PATH => ends::receive(shared, request).await,
+        Method::POST if path == suspects::PATH => suspects::receive(shared, request).await,
+        Method::POST if path == suspects::PERMIT_PATH => {
+            suspects::receive_permit_request(shared, request).await
+        }
+        Method::POST if path == usage::PATH => usage::receive(shared, request).await,
+        Method::GET if path.starts_with(feed::PATH) => feed::respond(shared, &path).await,
+        Method::GET if path.starts_with(relay::PATH) => relay::respond(shared, &path).await,
+        Method::GET if path.starts_with(member::PATH) => member::respond(shared, &path).await,
         Method::GET if path.starts_with(plans::PATH) => plans::answer(shared, &path),
-        _ => nothing(StatusCode::NOT_FOUND),
+        _ => empty_response(StatusCode::NOT_FOUND),
     }
 }
 
 /// An answer without a body.
-pub(super) fn nothing(status: StatusCode) -> Response<Full<Bytes>> {
+pub(super) fn empty_response(status: StatusCode) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::default());
     *response.status_mut() = status;
     response
@@ -143,15 +145,16 @@
 /// # Errors
 ///
 /// What it is to be answered, where that cannot be read.
-pub(super) async fn word<T>(request: Request<Incoming>) -> Result<T, StatusCode>
+pub(super) async fn decode_body<T>(request: Request<Incoming>) -> Result<T, StatusCode>
 where
     T: prost::Message + Default,
 {
     let path = request.uri().path().to_owned();
-    let body = Limited::new(request.into_body(), WORD_BYTES).collect().await.map_err(|error| {
-        log::info!("a peer's word on {path} was cut short: {error}");
-        StatusCode::BAD_REQUEST
-    })?;
+    let body =
+        Limited::new(request.into_body(), MAX_MESSAGE_BYTES).collect().await.map_err(|error| {
+            log::info!("a peer's word on {path} was cut short: {error}");
+            StatusCode::BAD_REQUEST
+        })?;
     T::decode(body.to_bytes()).map_err(|error| {
         log::warn!("a peer's word on {path} cannot be read: {error}");
         StatusCode::BAD_REQUEST
--- a/crates/hollywell/src/entry/plans.rs
+++ b/crates/hollywell/src/entry/plans.rs
@@ -118,7 +118,7 @@
         if age_ms(&shared).is_some_and(|age| age < BEHIND_MS) {
             continue;
         }
-        let peers = peers::some(&shared, ASKED);
+        let peers = peers::random_peers(&shared, ASKED);
         let asked: Vec<_> = peers.into_iter().map(|peer| ask(shared.clone(), peer)).collect();
         let asked: Vec<_> = asked.into_iter().map(tokio::task::spawn_local).collect();
         for one in asked {
@@ -170,7 +170,7 @@
 pub(super) fn answer(shared: &Shared, path: &str) -> Response<Full<Bytes>> {
     let have: u64 = path.strip_prefix(PATH).and_then(|have| have.parse().ok()).unwrap_or(0);
     let Some(age_ms) = age_ms(shared) else {
-        return peers::nothing(StatusCode::SERVICE_UNAVAILABLE);
+        return peers::empty_response(StatusCode::SERVICE_UNAVAILABLE);
     };
     let control = shared.control.borrow();
     let version = control.configuration.as_ref().map_or(0, |plan| plan.version);
@@ -181,7 +181,7 @@
         Ok(bytes) => Response::new(Full::new(bytes.into())),
         Err(error) => {
             log::error!("the configuration cannot be told: {error}");
-            peers::nothing(StatusCode::INTERNAL_SERVER_ERROR)
+            peers::empty_response(StatusCode::INTERNAL_SERVER_ERROR)
         }
     }
 }
--- a/crates/hollywell/src/entry/reader.rs
+++ b/crates/hollywell/src/entry/reader.rs
@@ -25,16 +25,16 @@
 /// to 1 MB, and all instances start together after an outage: with one each
 /// the store is kept busy, and nobody's answer waits behind seven of
 /// everybody's.
-const PAGES_AT_ONCE: usize = 1;
+const MAX_CONCURRENT_PAGES: usize = 1;
 
 /// What reads the store.
 #[derive(Debug)]
 pub struct Reader {
     store: Client,
-    patience: RefCell<Patience>,
+    timeout: RefCell<Patience>,
     pages: Semaphore,
-    instances: Cell<usize>,
-    away: Cell<bool>,
+    instance_count: Cell<usize>,
+    store_unavailable: Cell<bool>,
 }
 
 impl Reader {
@@ -43,23 +43,23 @@
     pub fn new(store: Client) -> Reader {
         Reader {
             store,
-            patience: RefCell::default(),
-            pages: Semaphore::new(PAGES_AT_ONCE),
-            instances: Cell::new(1),
-            away: Cell::new(false),
+            timeout: RefCell::default(),
+            pages: Semaphore::new(MAX_CONCURRENT_PAGES),
+            instance_count: Cell::new(1),
+            store_unavailable: Cell::new(false),
         }
     }
 
     /// Notes how many instances share the store.
-    pub fn shared_by(&self, instances: usize) {
-        self.instances.set(instances);
+    pub fn set_instance_count(&self, instances: usize) {
+        self.instance_count.set(instances);
     }
 
     /// Notes whether the store answers nobody here.
-    pub fn store_is_away(&self, away: bool) {
-        self.away.set(away);
-        if away {
-            self.patience.borrow_mut().away();
+    pub fn set_store_unavailable(&self, unavailable: bool) {
+        self.store_unavailable.set(unavailable);
+        if unavailable {
+            self.timeout.borrow_mut().away();
         }
     }
 
@@ -70,7 +70,7 @@
     /// The store's [`StoreError`].
     pub async fn read(&self, read: Read) -> Result<Records, StoreError> {
         let wait = read.wait;
-        self.limited(wait, |idle_timeout| (self.store.read)(WithIdleTimeout { read, idle_timeout }))
+        self.call(wait, |idle_timeout| (self.store.read)(WithIdleTimeout { read, idle_timeout }))
             .await
     }
 
@@ -82,7 +82,7 @@
     pub async fn members(&self, group: String) -> Result<Listing, StoreError> {
         let members =
             |idle_timeout| (self.store.members)(WithIdleTimeout { read: group, idle_timeout });
-        self.limited(Duration::ZERO, members).await
+        self.call(Duration::ZERO, members).await
     }
 
     /// Reads a page of the newest record of each key, after a key.
@@ -98,7 +98,7 @@
         let _turn = self.pages.acquire().await.ok();
         let read = (part.clone(), after);
         let page = |idle_timeout| (self.store.newest)(WithIdleTimeout { read, idle_timeout });
-        self.limited(Duration::ZERO, page).await
+        self.call(Duration::ZERO, page).await
     }
 
     /// Reads on in all newest records of a partition, from where an earlier
@@ -124,30 +124,34 @@
     /// Pauses after a call that failed, the last of so many in a row: up
     /// to [`patience::pause_most_ms`], so that instances that failed together
     /// do not return together.
-    pub async fn pause(&self, failures: u32) {
-        let most = patience::pause_most_ms(failures, self.instances.get(), self.away.get());
+    pub async fn back_off(&self, failures: u32) {
+        let most = patience::pause_most_ms(
+            failures,
+            self.instance_count.get(),
+            self.store_unavailable.get(),
+        );
         sleep(Duration::from_millis(rand::random_range(0..=most))).await;
     }
 
     /// Makes a call with the silence that is borne now, and learns from it.
-    async fn limited<T>(
+    async fn call<T>(
         &self,
         wait: Duration,
         call: impl FnOnce(Duration) -> crate::entry::store::LocalFuture<Result<T, StoreError>>,
     ) -> Result<T, StoreError> {
-        let limit_ms = self.patience.borrow().limit_ms();
+        let limit_ms = self.timeout.borrow().limit_ms();
         let started = Instant::now();
         let answer = call(Duration::from_millis(limit_ms)).await;
         let took = started.elapsed();
-        let mut patience = self.patience.borrow_mut();
+        let mut timeout = self.timeout.borrow_mut();
         match &answer {
             // An answer that came before its time waited for a record: how
             // long it took beyond that is not known.
             Ok(_) if took >= wait => {
                 let beyond = took.saturating_sub(wait).as_millis();
-                patience.answered(u64::try_from(beyond).unwrap_or(u64::MAX));
+                timeout.answered(u64::try_from(beyond).unwrap_or(u64::MAX));
             }
-            Err(StoreError::TimedOut) if !self.away.get() => patience.silent(limit_ms),
+            Err(StoreError::TimedOut) if !self.store_unavailable.get() => timeout.silent(limit_ms),
             _ => {}
         }
         answer
--- a/crates/hollywell/src/entry/relay.rs
+++ b/crates/hollywell/src/entry/relay.rs
@@ -26,27 +26,27 @@
 /// How long what was read is handed on, in milliseconds: about as long as a
 /// crowd takes to read it. It takes memory meanwhile, and the store keeps the
 /// records that follow it for twenty seconds.
-const KEEP_MS: u64 = 8_000;
+const CACHE_MS: u64 = 8_000;
 /// How long an instance that is reading itself keeps whoever asks.
-const HOLD: Duration = Duration::from_millis(1_000);
+const LONG_POLL: Duration = Duration::from_millis(1_000);
 /// Silence after which the instance that is asked is taken for lost.
-const SILENCE: Duration = Duration::from_millis(1_300);
+const IDLE_TIMEOUT: Duration = Duration::from_millis(1_300);
 /// How long another instance that is reading itself is asked before the store
 /// is read after all, for each step from there: it waits for the one before it.
-const PATIENCE: Duration = Duration::from_millis(6_000);
+const PARENT_TIMEOUT: Duration = Duration::from_millis(6_000);
 /// How long a start waits to learn that anybody lives.
-const MEMBERS: Duration = Duration::from_millis(500);
+const FIRST_MEMBER_TIMEOUT: Duration = Duration::from_millis(500);
 /// How long it waits until most members show: several readings of a group that
 /// all others read too.
-const SETTLED: Duration = Duration::from_millis(6_000);
+const ALL_MEMBERS_TIMEOUT: Duration = Duration::from_millis(6_000);
 /// Pause between looks.
-const LOOK: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// Largest answer of a peer.
-const BYTES: usize = 64 << 20;
+const MAX_RESPONSE_BYTES: usize = 64 << 20;
 
 /// A record on its way between instances.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
-struct Relayed {
+struct SnapshotRecord {
     #[prost(uint64, tag = "1")]
     offset: u64,
     #[prost(string, tag = "2")]
@@ -62,7 +62,7 @@
     #[prost(uint64, tag = "1")]
     end: u64,
     #[prost(message, repeated, tag = "2")]
-    records: Vec<Relayed>,
+    records: Vec<SnapshotRecord>,
     /// Keys whose newest record lies beyond the end.
     #[prost(string, repeated, tag = "3")]
     beyond: Vec<String>,
@@ -70,23 +70,23 @@
 
 impl Snapshot {
     fn new(read: &Records) -> Snapshot {
-        let relayed = |record: &Record| Relayed {
+        let record = |record: &Record| SnapshotRecord {
             offset: record.offset,
             key: record.key.clone(),
             value: record.value.clone().unwrap_or_default(),
         };
         Snapshot {
             end: read.end,
-            records: read.records.iter().map(relayed).collect(),
+            records: read.records.iter().map(record).collect(),
             beyond: read.beyond.clone(),
         }
     }
 
     fn into_records(self) -> Records {
-        let record = |relayed: Relayed| Record {
-            offset: relayed.offset,
-            key: relayed.key,
-            value: Some(relayed.value),
+        let record = |record: SnapshotRecord| Record {
+            offset: record.offset,
+            key: record.key,
+            value: Some(record.value),
         };
         Records {
             end: self.end,
@@ -96,43 +96,43 @@
     }
 }
 
-struct Kept {
+struct CachedSnapshot {
     body: Bytes,
     /// How old it was when it was kept, and when that was.
     age_ms: u64,
-    kept_at: Time,
+    cached_at: Time,
 }
 
-impl Kept {
+impl CachedSnapshot {
     fn age_ms(&self, now: Time) -> u64 {
-        self.age_ms + now.since(self.kept_at)
+        self.age_ms + now.since(self.cached_at)
     }
 }
 
 /// What was read lately and is handed on.
 #[derive(Default)]
 pub struct Relay {
-    kept: RefCell<HashMap<Partition, Kept>>,
+    cached: RefCell<HashMap<Partition, CachedSnapshot>>,
     changed: Notify,
 }
 
 impl std::fmt::Debug for Relay {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.debug_struct("Relay").field("kept", &self.kept.borrow().len()).finish_non_exhaustive()
+        f.debug_struct("Relay").field("cached", &self.cached.borrow().len()).finish_non_exhaustive()
     }
 }
 
 impl Relay {
     /// Drops what is too old to be handed on.
     pub fn expire(&self, now: Time) {
-        self.kept.borrow_mut().retain(|_, kept| kept.age_ms(now) < KEEP_MS);
+        self.cached.borrow_mut().retain(|_, cached| cached.age_ms(now) < CACHE_MS);
     }
 
     fn get(&self, now: Time, part: &Partition) -> Option<(Bytes, u64)> {
-        let kept = self.kept.borrow();
-        let kept = kept.get(part)?;
-        let age_ms = kept.age_ms(now);
-        (age_ms < KEEP_MS).then(|| (kept.body.clone(), age_ms))
+        let cached = self.cached.borrow();
+        let cached = cached.get(part)?;
+        let age_ms = cached.age_ms(now);
+        (age_ms < CACHE_MS).then(|| (cached.body.clone(), age_ms))
     }
 }
 
@@ -141,8 +141,8 @@
 pub fn keep(shared: &Shared, part: &Partition, read: &Records, age_ms: u64) {
     if relay::is_used(shared.control.borrow().roster.members(), &shared.instance_id) {
         let body = Bytes::from(Snapshot::new(read).encode_to_vec());
-        let kept = Kept { body, age_ms, kept_at: shared.now() };
-        shared.relay.kept.borrow_mut().insert(part.clone(), kept);
+        let cached = CachedSnapshot { body, age_ms, cached_at: shared.now() };
+        shared.relay.cached.borrow_mut().insert(part.clone(), cached);
     }
     shared.relay.changed.notify_waiters();
 }
@@ -150,20 +150,20 @@
 /// The newest records of a partition from another instance, and how long ago
 /// they were read from the store, in milliseconds; `None` if this one is to
 /// read the store.
-pub async fn ask(shared: &Rc<Shared>, part: &Partition) -> Option<(Records, u64)> {
-    know_members(shared).await;
+pub async fn fetch(shared: &Rc<Shared>, part: &Partition) -> Option<(Records, u64)> {
+    wait_for_members(shared).await;
     let depth = {
         let control = shared.control.borrow();
         relay::depth(control.roster.members(), &shared.instance_id)
     };
-    let until = Instant::now() + PATIENCE * depth;
+    let until = Instant::now() + PARENT_TIMEOUT * depth;
     while Instant::now() < until {
         // Asked each time: the members may be another's by now.
         let parent = {
             let control = shared.control.borrow();
             relay::parent(control.roster.members(), &shared.instance_id).map(str::to_owned)
         }?;
-        match ask_once(shared, part, &parent).await {
+        match fetch_from(shared, part, &parent).await {
             Ok(Some((records, age_ms))) => {
                 log::info!(
                     "{}/{} taken from {parent}: {} records, {age_ms} ms old",
@@ -185,31 +185,31 @@
 
 /// Waits until it is known who else may be starting: whoever decides earlier
 /// sees few others, and reads the store like all of them.
-async fn know_members(shared: &Shared) {
+async fn wait_for_members(shared: &Shared) {
     let started = Instant::now();
     loop {
         let (is_settled, is_known) = {
             let control = shared.control.borrow();
             (control.census.is_settled(), !control.roster.members().is_empty())
         };
-        let most = if is_known { SETTLED } else { MEMBERS };
+        let most = if is_known { ALL_MEMBERS_TIMEOUT } else { FIRST_MEMBER_TIMEOUT };
         if is_settled || started.elapsed() >= most {
             return;
         }
-        sleep(LOOK).await;
+        sleep(POLL_INTERVAL).await;
     }
 }
 
 /// Asks once; `None` if the other instance is still reading itself.
-async fn ask_once(
+async fn fetch_from(
     shared: &Rc<Shared>,
     part: &Partition,
     parent: &str,
 ) -> Result<Option<(Records, u64)>, String> {
     let path = format!("{PATH}{}/{}", part.topic, part.number);
-    let answer = peers::get(shared, parent, &path, SILENCE).await?;
+    let answer = peers::get(shared, parent, &path, IDLE_TIMEOUT).await?;
     let (status, age) = (answer.head.status, answer.header(&header::AGE).map(str::to_owned));
-    let body = answer.whole_unless_silent(BYTES, SILENCE).await;
+    let body = answer.whole_unless_silent(MAX_RESPONSE_BYTES, IDLE_TIMEOUT).await;
     let body = body.map_err(|error| error.to_string())?;
     match status {
         StatusCode::OK => {
@@ -226,11 +226,11 @@
 /// Answers a peer that asks for a partition's newest records: with what was
 /// read lately, once it is read if this instance is reading itself, or not at
 /// all if it was read long ago.
-pub async fn answer(shared: &Rc<Shared>, path: &str) -> Response<Full<Bytes>> {
-    let Some(part) = named(shared, path) else {
-        return peers::nothing(StatusCode::NOT_FOUND);
+pub async fn respond(shared: &Rc<Shared>, path: &str) -> Response<Full<Bytes>> {
+    let Some(part) = parse_path(shared, path) else {
+        return peers::empty_response(StatusCode::NOT_FOUND);
     };
-    let until = Instant::now() + HOLD;
+    let until = Instant::now() + LONG_POLL;
     loop {
         let changed = shared.relay.changed.notified();
         if let Some((body, age_ms)) = shared.relay.get(shared.now(), &part) {
@@ -239,10 +239,10 @@
             return response;
         }
         if is_read(shared, &part) {
-            return peers::nothing(StatusCode::NOT_FOUND);
+            return peers::empty_response(StatusCode::NOT_FOUND);
         }
         if timeout_at(until, changed).await.is_err() {
-            return peers::nothing(StatusCode::SERVICE_UNAVAILABLE);
+            return peers::empty_response(StatusCode::SERVICE_UNAVAILABLE);
         }
     }
 }
@@ -264,7 +264,7 @@
 }
 
 /// The relayed partition that a path names.
-fn named(shared: &Shared, path: &str) -> Option<Partition> {
+fn parse_path(shared: &Shared, path: &str) -> Option<Partition> {
     let (topic, number) = path.strip_prefix(PATH)?.rsplit_once('/')?;
     let part = Partition::new(topic, number.parse().ok()?);
     let parts = if topic == JOBS { shared.partition_changed.len() } else { 1 };
--- a/crates/hollywell/src/entry/run.rs
+++ b/crates/hollywell/src/entry/run.rs
@@ -23,7 +23,7 @@
         lines::Cutter,
         samples,
         shared::Shared,
-        suspects::{self, Trial},
+        suspects::{self, ProbeTarget},
         texts,
     },
 };
@@ -159,7 +159,9 @@
     // Asked last: whoever ran it before may have told of it meanwhile.
     let held = match suspects::verdict(shared, || digest) {
         Verdict::Free => false,
-        Verdict::Suspect => suspects::trial(shared, &target.pool, digest) == Trial::Nowhere,
+        Verdict::Suspect => {
+            suspects::probe_target(shared, &target.pool, digest) == ProbeTarget::Nowhere
+        }
         Verdict::Held(_) => true,
     };
     if held {
@@ -171,7 +173,7 @@
     let end = exchange(shared, run, slot, target, digest, request).await;
     // A sample that has got further is none that ends its targets.
     let may_have_ended = matches!(end, End::Broken | End::Stale) && last_event() == before;
-    if may_have_ended && suspects::look(shared, target, digest, false).await {
+    if may_have_ended && suspects::check_ended(shared, target, digest, false).await {
         return End::Broken;
     }
     end
@@ -300,7 +302,7 @@
             }
             text.take(&piece, version);
         }
-        suspects::served(self.shared, || self.digest);
+        suspects::record_served(self.shared, || self.digest);
         self.shared.handle_event(&Event::Piece { run: self.run });
         Ok(())
     }
--- a/crates/hollywell/src/entry/serve.rs
+++ b/crates/hollywell/src/entry/serve.rs
@@ -170,23 +170,23 @@
     let spawn = tokio::task::spawn_local::<std::pin::Pin<Box<dyn Future<Output = ()>>>>;
     // In the order in which they are read from the store at a start: what is
     // small and needed for every request before the jobs.
-    spawn(Box::pin(follow::wishes(shared.clone())));
+    spawn(Box::pin(follow::operator_commands(shared.clone())));
     spawn(Box::pin(plans::serve(shared.clone())));
-    spawn(Box::pin(follow::fleet(shared.clone())));
+    spawn(Box::pin(follow::targets(shared.clone())));
     spawn(Box::pin(hints::serve(shared.clone())));
     spawn(Box::pin(suspects::serve(shared.clone())));
     spawn(Box::pin(suspects::save(shared.clone())));
     for part in 0..shared.partition_changed.len() {
         spawn(Box::pin(follow::jobs(shared.clone(), part)));
     }
-    spawn(Box::pin(member::stay(shared.clone())));
-    spawn(Box::pin(member::watch(shared.clone())));
+    spawn(Box::pin(member::heartbeat(shared.clone())));
+    spawn(Box::pin(member::follow_members(shared.clone())));
     spawn(Box::pin(orders::serve(shared.clone())));
-    spawn(Box::pin(usage::save(shared.clone())));
+    spawn(Box::pin(usage::store_counts(shared.clone())));
     spawn(Box::pin(duties::serve(shared.clone())));
     spawn(Box::pin(garbage::serve(shared.clone())));
     spawn(Box::pin(peers::serve(shared.clone(), peer_listener)));
-    spawn(Box::pin(ends::watch(shared.clone())));
+    spawn(Box::pin(ends::tick(shared.clone())));
     spawn(Box::pin(entry::capacity::serve(shared.clone())));
     spawn(Box::pin(reload::serve(shared.clone(), path.to_owned())));
     spawn(Box::pin(tick(shared.clone())));
--- a/crates/hollywell/src/entry/shared.rs
+++ b/crates/hollywell/src/entry/shared.rs
@@ -276,7 +276,7 @@
         if well {
             let since = control.store_failing_since.take();
             control.fleet.store(now, false);
-            self.reader.store_is_away(false);
+            self.reader.set_store_unavailable(false);
             if since.is_some_and(|since| now.since(since) > AWAY_MS) {
                 log::info!("store regained");
             }
@@ -288,7 +288,7 @@
             log::warn!("store lost: no good answer for {} ms", now.since(since));
         }
         control.fleet.store(now, away);
-        self.reader.store_is_away(away);
+        self.reader.set_store_unavailable(away);
     }
 
     /// Appends records, counts them, and notes whether the store is there.
@@ -449,7 +449,7 @@
             Change::Grown(job, at) => self.partial_text_grew(part, Slot { job, at }),
             Change::Ended(job) | Change::Dropped(job) => {
                 self.close_job(&job);
-                ends::tell(self, &ending::Event::Settled(job));
+                ends::handle_event(self, &ending::Event::Settled(job));
             }
         }
     }
--- a/crates/hollywell/src/entry/suspects.rs
+++ b/crates/hollywell/src/entry/suspects.rs
@@ -31,29 +31,29 @@
 const TOPIC: &str = "keyed.suspects";
 /// Least time between reads. The same request comes again within a few
 /// milliseconds, at any instance.
-const PAUSE: Duration = Duration::from_millis(20);
+const READ_INTERVAL: Duration = Duration::from_millis(20);
 /// The path on which turns to try a suspect are asked for.
-pub const TURN_PATH: &str = "/suspects/turn";
+pub const PERMIT_PATH: &str = "/suspects/turn";
 /// How long the answer to that is waited for: a round trip, and what a busy
 /// instance takes. Callers of plain requests wait for a second or so.
-const TURN_WAIT: Duration = Duration::from_millis(150);
+const PERMIT_TIMEOUT: Duration = Duration::from_millis(150);
 /// Most records of one append or one peer's word.
-const AT_ONCE: usize = 256;
+const MAX_BATCH: usize = 256;
 /// Pause after a failed append, at first and at most.
 const RETRY: Duration = Duration::from_millis(200);
 /// See [`RETRY`].
-const RETRY_MOST: Duration = Duration::from_secs(5);
+const MAX_RETRY: Duration = Duration::from_secs(5);
 
 /// What one peer tells another.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
-struct Word {
+struct SuspectList {
     #[prost(message, repeated, tag = "1")]
-    records: Vec<Said>,
+    records: Vec<SuspectRecord>,
 }
 
 /// A record as the store keeps it.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
-struct Said {
+struct SuspectRecord {
     #[prost(string, tag = "1")]
     digest: String,
     /// Empty if nothing is known against the request any more.
@@ -63,7 +63,7 @@
 
 /// A word about a turn.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
-struct Asked {
+struct PermitRequest {
     #[prost(string, tag = "1")]
     pool: String,
     /// Names the try.
@@ -74,9 +74,9 @@
     is_over: bool,
 }
 
-impl Asked {
+impl PermitRequest {
     fn over(&self) -> Bytes {
-        Asked { is_over: true, ..self.clone() }.encode_to_vec().into()
+        PermitRequest { is_over: true, ..self.clone() }.encode_to_vec().into()
     }
 }
 
@@ -100,7 +100,7 @@
 
     fn take(&self) -> Vec<Digest> {
         let mut digests = self.digests.borrow_mut();
-        std::iter::from_fn(|| digests.pop_first()).take(AT_ONCE).collect()
+        std::iter::from_fn(|| digests.pop_first()).take(MAX_BATCH).collect()
     }
 }
 
@@ -116,7 +116,7 @@
 
 /// Where a suspect may be tried.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Trial {
+pub enum ProbeTarget {
     /// At this target.
     At(Box<Announcement>),
     /// Nowhere for now: its pool would be left without a sound target.
@@ -124,18 +124,18 @@
 }
 
 /// Where a suspect may be tried among a pool's targets.
-pub fn trial(shared: &Shared, pool: &str, digest: Digest) -> Trial {
+pub fn probe_target(shared: &Shared, pool: &str, digest: Digest) -> ProbeTarget {
     let (now, control) = (shared.now(), shared.control.borrow());
     let since_ms = control.poison.since_end_ms(unix_ms(), digest).unwrap_or(u64::MAX);
-    let id = poison::trial(&sound(&control, now, pool), since_ms);
+    let id = poison::trial(&healthy(&control, now, pool), since_ms);
     match id.and_then(|id| control.fleet.targets.get(id)) {
-        Some(target) => Trial::At(Box::new(target.said.clone())),
-        None => Trial::Nowhere,
+        Some(target) => ProbeTarget::At(Box::new(target.said.clone())),
+        None => ProbeTarget::Nowhere,
     }
 }
 
 /// A pool's targets at which no exchange broke a moment ago.
-fn sound<'a>(control: &'a Control, now: Time, pool: &'a str) -> Vec<&'a str> {
+fn healthy<'a>(control: &'a Control, now: Time, pool: &'a str) -> Vec<&'a str> {
     let all = control.fleet.usable(pool).map(|target| target.said.id.as_str());
     all.filter(|id| !control.observations.is_broken(now, id)).collect()
 }
@@ -149,95 +149,99 @@
 
 /// The target of a pool that is kept free for suspects, while any may be
 /// tried soon.
-pub fn reserved(shared: &Shared, pool: &str) -> Option<String> {
+pub fn reserved_target(shared: &Shared, pool: &str) -> Option<String> {
     let (now, control) = (shared.now(), shared.control.borrow());
     if !control.poison.is_trying(unix_ms()) {
         return None;
     }
-    poison::trial(&sound(&control, now, pool), 0).map(str::to_owned)
+    poison::trial(&healthy(&control, now, pool), 0).map(str::to_owned)
 }
 
 /// The turn to try a suspect at a pool, which one of all instances has at a
 /// time. Dropped, it is given back.
-pub struct Turn {
+pub struct ProbePermit {
     shared: Rc<Shared>,
-    asked: Asked,
+    request: PermitRequest,
     /// The turn that was taken of those that this instance gives out.
     subject: String,
     /// Who gives out the pool's; `None` if that is this instance.
-    keeper: Option<String>,
-    ends_by_itself: bool,
+    issuer: Option<String>,
+    expires: bool,
 }
 
-impl Turn {
+impl ProbePermit {
     /// Leaves the turn taken until it ends by itself: others are to learn
     /// first what came of the try.
     pub fn keep(mut self) {
-        self.ends_by_itself = true;
+        self.expires = true;
     }
 }
 
-impl Drop for Turn {
+impl Drop for ProbePermit {
     fn drop(&mut self) {
-        if self.ends_by_itself {
+        if self.expires {
             return;
         }
-        self.shared.probe_permits.borrow_mut().give_back(&self.subject, &self.asked.who);
-        let Some(keeper) = self.keeper.take() else {
+        self.shared.probe_permits.borrow_mut().give_back(&self.subject, &self.request.who);
+        let Some(issuer) = self.issuer.take() else {
             return;
         };
-        let (shared, over) = (self.shared.clone(), self.asked.over());
+        let (shared, over) = (self.shared.clone(), self.request.over());
         tokio::task::spawn_local(async move {
             // It ends by itself where this is lost.
-            let _told = peers::post(&shared, &keeper, TURN_PATH, over).await;
+            let _told = peers::post(&shared, &issuer, PERMIT_PATH, over).await;
         });
     }
 }
 
 /// Asks for the turn to try a suspect at a pool; `None` while another one is
 /// tried there, or whoever gives turns out cannot be reached.
-pub async fn turn(shared: &Rc<Shared>, pool: &str) -> Option<Turn> {
-    let keeper = {
+pub async fn acquire_probe_permit(shared: &Rc<Shared>, pool: &str) -> Option<ProbePermit> {
+    let issuer = {
         let control = shared.control.borrow();
-        dispatch::owner(control.roster.members(), TURN_PATH, pool).map(str::to_owned)
+        dispatch::owner(control.roster.members(), PERMIT_PATH, pool).map(str::to_owned)
     }?;
-    let keeper = Some(keeper).filter(|keeper| *keeper != shared.instance_id);
+    let issuer = Some(issuer).filter(|issuer| *issuer != shared.instance_id);
     // An instance asks for one at a time, however many suspects wait here.
-    let subject = if keeper.is_some() { format!("here/{pool}") } else { pool.to_owned() };
-    let asked = Asked { pool: pool.to_owned(), who: shared.unique_key_part(), is_over: false };
+    let subject = if issuer.is_some() { format!("here/{pool}") } else { pool.to_owned() };
+    let request =
+        PermitRequest { pool: pool.to_owned(), who: shared.unique_key_part(), is_over: false };
     let now = shared.now();
-    if !shared.probe_permits.borrow_mut().take(now, &subject, &asked.who) {
+    if !shared.probe_permits.borrow_mut().take(now, &subject, &request.who) {
         return None;
     }
-    let word = Bytes::from(asked.encode_to_vec());
-    let turn = Turn { shared: shared.clone(), asked, subject, keeper, ends_by_itself: false };
-    let Some(keeper) = turn.keeper.clone() else {
-        return Some(turn);
+    let word = Bytes::from(request.encode_to_vec());
+    let permit = ProbePermit { shared: shared.clone(), request, subject, issuer, expires: false };
+    let Some(issuer) = permit.issuer.clone() else {
+        return Some(permit);
     };
     // One whose answer comes too late is given back, as any other.
-    let given = timeout(TURN_WAIT, peers::post(shared, &keeper, TURN_PATH, word)).await;
-    matches!(given, Ok(Ok(()))).then_some(turn)
+    let given = timeout(PERMIT_TIMEOUT, peers::post(shared, &issuer, PERMIT_PATH, word)).await;
+    matches!(given, Ok(Ok(()))).then_some(permit)
 }
 
 /// Gives a turn to a peer, or takes it back.
-pub async fn hear_turn(shared: &Rc<Shared>, request: Request<Incoming>) -> Response<Full<Bytes>> {
-    let Asked { pool, who, is_over } = match peers::word(request).await {
-        Ok(asked) => asked,
-        Err(status) => return peers::nothing(status),
+pub async fn receive_permit_request(
+    shared: &Rc<Shared>,
+    request: Request<Incoming>,
+) -> Response<Full<Bytes>> {
+    let PermitRequest { pool, who, is_over } = match peers::decode_body(request).await {
+        Ok(request) => request,
+        Err(status) => return peers::empty_response(status),
     };
-    let (now, mut turns) = (shared.now(), shared.probe_permits.borrow_mut());
+    let (now, mut permits) = (shared.now(), shared.probe_permits.borrow_mut());
     if is_over {
-        turns.give_back(&pool, &who);
-        return peers::nothing(StatusCode::OK);
+        permits.give_back(&pool, &who);
+        return peers::empty_response(StatusCode::OK);
     }
-    let is_free = turns.take(now, &pool, &who);
-    peers::nothing(if is_free { StatusCode::OK } else { StatusCode::CONFLICT })
+    let is_free = permits.take(now, &pool, &who);
+    peers::empty_response(if is_free { StatusCode::OK } else { StatusCode::CONFLICT })
 }
 
 /// Finds out whether a target, with which an exchange has broken, has ended;
 /// if so, that counts against the request that was there.
 /// `is_alone` if nothing else was sent there meanwhile, as far as is known.
-pub async fn look(
+pub async fn check_ended(
     shared: &Rc<Shared>,
     target: &Announcement,
     digest: Digest,
@@ -247,24 +251,24 @@
         return false;
     }
     let life = target.life();
-    let (is_news, verdict) = {
+    let (is_new, verdict) = {
         let mut control = shared.control.borrow_mut();
-        let is_news = match is_alone {
+        let is_new = match is_alone {
             true => control.poison.ended_alone(unix_ms(), digest, &life),
             false => control.poison.ended(unix_ms(), digest, &life),
         };
-        (is_news, control.poison.verdict(unix_ms(), digest))
+        (is_new, control.poison.verdict(unix_ms(), digest))
     };
     shared.meters.targets_ended.inc();
     log::info!("target {life} has ended while {digest} was there: {verdict:?}");
-    if is_news {
+    if is_new {
         shared.unsaved_suspects.add(digest);
     }
     true
 }
 
 /// Notes that a target has answered a request, or goes on with it.
-pub fn served(shared: &Shared, digest: impl FnOnce() -> Digest) {
+pub fn record_served(shared: &Shared, digest: impl FnOnce() -> Digest) {
     let known = {
         let mut control = shared.control.borrow_mut();
         if control.poison.is_empty() {
@@ -301,64 +305,64 @@
             shared.unsaved_suspects.changed.notified().await;
             continue;
         }
-        let said = said(&shared, &digests);
-        match append(&shared, &said).await {
+        let records = records_of(&shared, &digests);
+        match append(&shared, &records).await {
             Ok(()) => pause = RETRY,
             Err(fault) => {
-                log::info!("{} suspects are kept for another append: {fault}", said.len());
-                tell_all(&shared, &said);
+                log::info!("{} suspects are kept for another append: {fault}", records.len());
+                notify_all(&shared, &records);
                 shared.unsaved_suspects.put_back(digests);
                 // What becomes known meanwhile does not wait: peers must know
                 // it however long the store has been away.
                 let _woken = timeout(pause, shared.unsaved_suspects.changed.notified()).await;
-                pause = (pause * 2).min(RETRY_MOST);
+                pause = (pause * 2).min(MAX_RETRY);
             }
         }
     }
 }
 
-fn said(shared: &Shared, digests: &[Digest]) -> Vec<Said> {
+fn records_of(shared: &Shared, digests: &[Digest]) -> Vec<SuspectRecord> {
     let control = shared.control.borrow();
-    let one = |digest: &Digest| Said {
+    let one = |digest: &Digest| SuspectRecord {
         digest: digest.to_string(),
         record: control.poison.record(*digest).unwrap_or_default().into(),
     };
     digests.iter().map(one).collect()
 }
 
-async fn append(shared: &Shared, said: &[Said]) -> Result<(), StoreError> {
-    let record = |said: &Said| (Some(said.digest.clone()), said.record.clone());
-    let records = said.iter().map(record).collect();
+async fn append(shared: &Shared, records: &[SuspectRecord]) -> Result<(), StoreError> {
+    let record = |records: &SuspectRecord| (Some(records.digest.clone()), records.record.clone());
+    let records = records.iter().map(record).collect();
     let (part, purpose) = (Partition::new(TOPIC, 0), Use::Suspect);
     shared.append(Append { part, records, expected_end: None, purpose }).await.map(|_| ())
 }
 
-fn tell_all(shared: &Rc<Shared>, said: &[Said]) {
-    let word = Bytes::from(Word { records: said.to_vec() }.encode_to_vec());
+fn notify_all(shared: &Rc<Shared>, records: &[SuspectRecord]) {
+    let word = Bytes::from(SuspectList { records: records.to_vec() }.encode_to_vec());
     let members = shared.control.borrow().roster.members().to_vec();
     for member in members.into_iter().filter(|member| *member != shared.instance_id) {
-        tokio::task::spawn_local(tell(shared.clone(), member, word.clone()));
+        tokio::task::spawn_local(notify(shared.clone(), member, word.clone()));
     }
 }
 
-async fn tell(shared: Rc<Shared>, member: String, word: Bytes) {
+async fn notify(shared: Rc<Shared>, member: String, word: Bytes) {
     if let Err(why) = peers::post(&shared, &member, PATH, word).await {
         log::info!("telling {member} of suspects: {why}");
     }
 }
 
 /// Takes in what a peer tells.
-pub async fn hear(shared: &Rc<Shared>, request: Request<Incoming>) -> Response<Full<Bytes>> {
-    let Word { records } = match peers::word(request).await {
+pub async fn receive(shared: &Rc<Shared>, request: Request<Incoming>) -> Response<Full<Bytes>> {
+    let SuspectList { records } = match peers::decode_body(request).await {
         Ok(word) => word,
-        Err(status) => return peers::nothing(status),
+        Err(status) => return peers::empty_response(status),
     };
-    records.iter().for_each(|said| take(shared, &said.digest, &said.record));
-    peers::nothing(StatusCode::OK)
+    records.iter().for_each(|records| apply_record(shared, &records.digest, &records.record));
+    peers::empty_response(StatusCode::OK)
 }
 
 /// Takes a record in, the store's or a peer's.
-fn take(shared: &Shared, key: &str, record: &[u8]) {
+fn apply_record(shared: &Shared, key: &str, record: &[u8]) {
     let mut control = shared.control.borrow_mut();
     let taken = key.parse::<Digest>().and_then(|digest| {
         if record.is_empty() {
@@ -379,12 +383,12 @@
     follow::follow(
         shared,
         part,
-        |_| PAUSE,
+        |_| READ_INTERVAL,
         None,
         true,
         |shared, records, _| {
             for record in &records.records {
-                take(shared, &record.key, record.value.as_deref().unwrap_or_default());
+                apply_record(shared, &record.key, record.value.as_deref().unwrap_or_default());
             }
             shared.control.borrow_mut().poison_loaded = true;
         },
--- a/crates/hollywell/src/entry/usage.rs
+++ b/crates/hollywell/src/entry/usage.rs
@@ -34,26 +34,26 @@
 /// rate.
 const GATHER: Duration = Duration::from_millis(250);
 /// Instances up to which it is that short.
-const GATHER_MEMBERS: f64 = 50.0;
+const GATHER_INSTANCES: f64 = 50.0;
 /// How long the store may take before peers are asked: a window is added up
 /// some seconds after its end, and a silent store lets calls hang for as long.
-const PATIENCE: Duration = Duration::from_millis(600);
+const APPEND_TIMEOUT: Duration = Duration::from_millis(600);
 /// Most time between tries to store counts.
-const RETRY: Duration = Duration::from_millis(1_000);
+const MAX_RETRY: Duration = Duration::from_millis(1_000);
 /// Peers that are asked to store what the store does not take from here.
-const CARRIERS: usize = 2;
+const PEERS_ASKED: usize = 2;
 /// Records that are carried for peers at most.
-const MOST_CARRIED: usize = 1_024;
+const MAX_PEER_COUNTS: usize = 1_024;
 
 /// What a peer is asked to store.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
-struct Word {
+struct CountList {
     #[prost(message, repeated, tag = "1")]
-    records: Vec<Said>,
+    records: Vec<CountRecord>,
 }
 
 #[derive(Clone, PartialEq, Eq, prost::Message)]
-struct Said {
+struct CountRecord {
     #[prost(string, tag = "1")]
     key: String,
     #[prost(bytes = "bytes", tag = "2")]
@@ -66,7 +66,7 @@
     tally: RefCell<Tally>,
     day: RefCell<Day>,
     /// Records of peers that could not store them.
-    carried: RefCell<BTreeMap<String, Bytes>>,
+    peer_counts: RefCell<BTreeMap<String, Bytes>>,
     changed: Notify,
 }
 
@@ -77,7 +77,7 @@
 
 /// Counts a request of an organisation that begins now; its window, if it is
 /// counted at all.
-pub(super) fn begin(shared: &Shared, organisation: &str) -> Option<u64> {
+pub(super) fn count_request(shared: &Shared, organisation: &str) -> Option<u64> {
     let duties = shared.settings.duties.filter(|_| !organisation.is_empty())?;
     let window = duties.usage.window(day_ms(shared));
     shared.usage.tally.borrow_mut().begin(window, organisation);
@@ -86,39 +86,39 @@
 }
 
 /// Takes one back that did not begin after all.
-pub(super) fn undo(shared: &Shared, window: u64, organisation: &str) {
+pub(super) fn uncount_request(shared: &Shared, window: u64, organisation: &str) {
     shared.usage.tally.borrow_mut().undo(window, organisation);
     shared.usage.changed.notify_one();
 }
 
 /// Brings what is counted here to the store until the process ends, by way
 /// of peers where the store does not take it.
-pub async fn save(shared: Rc<Shared>) {
+pub async fn store_counts(shared: Rc<Shared>) {
     let mut is_failing = false;
     loop {
         shared.usage.changed.notified().await;
         let members = shared.control.borrow().roster.members().len() as f64;
-        sleep(GATHER.mul_f64((members / GATHER_MEMBERS).max(1.0))).await;
+        sleep(GATHER.mul_f64((members / GATHER_INSTANCES).max(1.0))).await;
         let own = shared.usage.tally.borrow_mut().take(&shared.writer_id);
-        let carried = std::mem::take(&mut *shared.usage.carried.borrow_mut());
-        if own.is_empty() && carried.is_empty() {
+        let peer_counts = std::mem::take(&mut *shared.usage.peer_counts.borrow_mut());
+        if own.is_empty() && peer_counts.is_empty() {
             continue;
         }
-        let all: Vec<_> = own.iter().cloned().chain(carried.clone()).collect();
+        let all: Vec<_> = own.iter().cloned().chain(peer_counts.clone()).collect();
         // Whatever is counted while the store fails does not wait for it.
         if is_failing {
-            carry(&shared, &own);
+            hand_to_peers(&shared, &own);
         }
         let appended = append(&shared, &all).await;
         let failed_before = std::mem::replace(&mut is_failing, appended.is_err());
         if let Err(fault) = appended {
             log::info!("usage of {} windows is kept for another append: {fault}", own.len());
             if !failed_before {
-                carry(&shared, &own);
+                hand_to_peers(&shared, &own);
             }
             shared.usage.tally.borrow_mut().put_back(&own);
-            shared.usage.carried.borrow_mut().extend(carried);
-            sleep(RETRY.mul_f64(rand::random_range(0.0..=1.0))).await;
+            shared.usage.peer_counts.borrow_mut().extend(peer_counts);
+            sleep(MAX_RETRY.mul_f64(rand::random_range(0.0..=1.0))).await;
             shared.usage.changed.notify_one();
         }
     }
@@ -131,17 +131,19 @@
     let append = shared.append(Append { part, records, expected_end: None, purpose });
     // Where it is done after all, the same records come twice.
     let late = |_| StoreError::OutcomeUnknown(String::from("no answer in time"));
-    timeout(PATIENCE, append).await.map_err(late)?.map(|_| ())
+    timeout(APPEND_TIMEOUT, append).await.map_err(late)?.map(|_| ())
 }
 
 /// Asks some peers to store records for this instance.
-fn carry(shared: &Rc<Shared>, records: &[(String, Bytes)]) {
-    let said = |(key, value): &(String, Bytes)| Said { key: key.clone(), value: value.clone() };
-    let word = Bytes::from(Word { records: records.iter().map(said).collect() }.encode_to_vec());
-    for peer in peers::some(shared, CARRIERS) {
-        let (shared, word) = (shared.clone(), word.clone());
+fn hand_to_peers(shared: &Rc<Shared>, records: &[(String, Bytes)]) {
+    let record =
+        |(key, value): &(String, Bytes)| CountRecord { key: key.clone(), value: value.clone() };
+    let message =
+        Bytes::from(CountList { records: records.iter().map(record).collect() }.encode_to_vec());
+    for peer in peers::random_peers(shared, PEERS_ASKED) {
+        let (shared, message) = (shared.clone(), message.clone());
         tokio::task::spawn_local(async move {
-            if let Err(why) = peers::post(&shared, &peer, PATH, word).await {
+            if let Err(why) = peers::post(&shared, &peer, PATH, message).await {
                 log::info!("{peer} does not carry usage: {why}");
             }
         });
@@ -149,19 +151,22 @@
 }
 
 /// Takes in what a peer could not store.
-pub(super) async fn hear(shared: &Rc<Shared>, request: Request<Incoming>) -> Response<Full<Bytes>> {
-    let Word { records } = match peers::word(request).await {
-        Ok(word) => word,
-        Err(status) => return peers::nothing(status),
+pub(super) async fn receive(
+    shared: &Rc<Shared>,
+    request: Request<Incoming>,
+) -> Response<Full<Bytes>> {
+    let CountList { records } = match peers::decode_body(request).await {
+        Ok(message) => message,
+        Err(status) => return peers::empty_response(status),
     };
     {
-        let mut carried = shared.usage.carried.borrow_mut();
-        for Said { key, value } in records {
-            if carried.len() < MOST_CARRIED {
-                carried.insert(usage::carried_key(&key, &shared.writer_id), value);
+        let mut peer_counts = shared.usage.peer_counts.borrow_mut();
+        for CountRecord { key, value } in records {
+            if peer_counts.len() < MAX_PEER_COUNTS {
+                peer_counts.insert(usage::carried_key(&key, &shared.writer_id), value);
             }
         }
     }
     shared.usage.changed.notify_one();
-    peers::nothing(StatusCode::OK)
+    peers::empty_response(StatusCode::OK)
 }
--- a/crates/hollywell/tests/reader.rs
+++ b/crates/hollywell/tests/reader.rs
@@ -133,7 +133,7 @@
             let (mut newest, mut failures) = (Newest::default(), 0);
             while reader.resume_newest(&Partition::at("jobs", part), &mut newest).await.is_err() {
                 failures += 1;
-                reader.pause(failures).await;
+                reader.back_off(failures).await;
             }
         }));
     }
@@ -153,7 +153,7 @@
             return;
         }
         failures += 1;
-        reader.pause(failures).await;
+        reader.back_off(failures).await;
     }
 }
 
@@ -166,7 +166,7 @@
         let mut instances = Vec::new();
         for instance in 0..INSTANCES {
             let reader = Reader::new(line.client(instance));
-            reader.shared_by(INSTANCES);
+            reader.set_instance_count(INSTANCES);
             instances.push(tokio::task::spawn_local(read_all(Rc::new(reader))));
         }
         for instance in instances {
@@ -201,13 +201,13 @@
     let healed = Instant::now() + Duration::from_millis(5_000);
     line.cut_until.set(healed);
     let reader = Rc::new(Reader::new(line.client(0)));
-    reader.shared_by(INSTANCES);
+    reader.set_instance_count(INSTANCES);
     let told = reader.clone();
     let done = LocalSet::new()
         .run_until(async {
             tokio::task::spawn_local(async move {
                 sleep_until(Instant::now() + Duration::from_millis(1_600)).await;
-                told.store_is_away(true);
+                told.set_store_unavailable(true);
             });
             let mut readers = Vec::new();
             for part in 0..7 {
