--- a/crates/hollywell/src/entry/capacity.rs
+++ b/crates/hollywell/src/entry/capacity.rs
@@ -82,7 +82,7 @@
         .map(|log| log.bytes(max_log_bytes));
     let logs = own.sum::<u64>() + others;
     control.capacity.seen(now, live, logs, (tokens as f64 * ratio) as u64 + outcomes);
-    shared.meters.used.set(i64::try_from(control.capacity.used()).unwrap_or(i64::MAX));
+    shared.meters.store_used_bytes.set(i64::try_from(control.capacity.used()).unwrap_or(i64::MAX));
     ratio
 }
 
--- a/crates/hollywell/src/entry/feed.rs
+++ b/crates/hollywell/src/entry/feed.rs
@@ -133,7 +133,7 @@
             self.announced.remove(&record.key);
             return true;
         };
-        let Ok(announced) = (shared.dialect.announcement)(&record.key, value) else {
+        let Ok(announced) = (shared.codec.announcement)(&record.key, value) else {
             return true;
         };
         let announced = Announcement { beats: 0, ..announced };
@@ -248,7 +248,7 @@
     let demand = relay::Demand {
         instances: control.roster.members().len(),
         targets: control.fleet.targets.len(),
-        beat_ms: u64::try_from(shared.settings.times.beat.as_millis()).unwrap_or(u64::MAX),
+        beat_ms: u64::try_from(shared.settings.times.heartbeat.as_millis()).unwrap_or(u64::MAX),
     };
     // How many read it is not known where not all show.
     control.census.is_full() || relay::is_crowded(shared.settings.store.supply, demand)
@@ -291,7 +291,7 @@
         }
     }
     let mut log = Log { first: newest.end, end: newest.end, ..Log::default() };
-    if part.topic == shared.dialect.announcements {
+    if part.topic == shared.codec.announcements {
         log.newest = Some(HashMap::new());
         for record in &newest.records {
             log.is_change(shared, record);
@@ -316,7 +316,7 @@
         *log = Log { first: from, end: from, ..Log::default() };
     }
     for record in &read.records {
-        let is_entry = part.topic == shared.dialect.announcements;
+        let is_entry = part.topic == shared.codec.announcements;
         log.update_newest(record);
         if !is_entry || log.is_change(shared, record) {
             log.push(record);
@@ -378,7 +378,7 @@
     let path = format!("{PATH}{}/{}/{from}", part.topic, part.number);
     let answer = peers::get(shared, source, &path, IDLE_TIMEOUT).await?;
     let status = answer.head.status;
-    let body = answer.whole_unless_silent(MAX_RESPONSE_BYTES, IDLE_TIMEOUT).await;
+    let body = answer.read_body_with_idle_timeout(MAX_RESPONSE_BYTES, IDLE_TIMEOUT).await;
     let body = body.map_err(|error| error.to_string())?;
     match status {
         StatusCode::OK => {}
--- a/crates/hollywell/src/entry/follow.rs
+++ b/crates/hollywell/src/entry/follow.rs
@@ -22,9 +22,10 @@
         time::Time,
     },
     entry::{
-        dialect::Wish,
+        codec::Command,
+        configuration,
         feed::{self, Batch},
-        plans, relay,
+        relay,
         shared::{Control, JOBS, Shared},
         store::{Newest, Partition, Read, Records, StoreError},
     },
@@ -122,7 +123,7 @@
     /// Takes what another instance hands on; of a partition that is not read
     /// yet, only where all of it is.
     async fn read_from_source(&mut self, shared: &Rc<Shared>, part: &Partition) -> Option<Batch> {
-        if self.next.is_none() && part.topic != shared.dialect.announcements {
+        if self.next.is_none() && part.topic != shared.codec.announcements {
             return None;
         }
         let batch = self.ask_sources(shared, part).await?;
@@ -224,7 +225,7 @@
 ) {
     let is_relayed = relay::is_relayed(&shared, &part);
     // The configuration is vital: everybody reads it, beside what peers tell.
-    let may_follow = part.topic != shared.dialect.wishes;
+    let may_follow = part.topic != shared.codec.operator_topic;
     let mut position = Position::new(keyed);
     if is_relayed && let Some((records, age_ms)) = relay::fetch(&shared, &part).await {
         relay::keep(&shared, &part, &records, age_ms);
@@ -295,7 +296,7 @@
 
 /// Follows the targets' announcements.
 pub async fn targets(shared: Rc<Shared>) {
-    let part = Partition::new(shared.dialect.announcements, 0);
+    let part = Partition::new(shared.codec.announcements, 0);
     follow(
         shared,
         part,
@@ -334,10 +335,10 @@
         control.fleet.vanish(now, id);
         return;
     };
-    match (shared.dialect.announcement)(id, value) {
+    match (shared.codec.announcement)(id, value) {
         Ok(said) => apply_announcement(shared, control, now, said),
         Err(why) => {
-            shared.meters.entries_skipped.inc();
+            shared.meters.announcements_skipped.inc();
             if control.fleet.skip(id, &why) {
                 log::warn!("entry of {id} names no target to use: {why}");
             }
@@ -355,8 +356,8 @@
 }
 
 /// Follows the operator's wishes: the configuration and the newest weights.
-pub async fn operator_commands(shared: Rc<Shared>) {
-    let part = Partition::new(shared.dialect.wishes, 0);
+pub async fn commands(shared: Rc<Shared>) {
+    let part = Partition::new(shared.codec.operator_topic, 0);
     follow(
         shared,
         part,
@@ -371,7 +372,7 @@
                 end_withdrawn_evacuations(shared, &records);
             }
             if let Some(requested_at) = from.requested_at {
-                plans::current(shared, requested_at);
+                configuration::mark_current(shared, requested_at);
             }
             shared.open_waiting_jobs();
         },
@@ -381,24 +382,28 @@
 
 /// Ends evacuations that were taken back while nothing was read here.
 fn end_withdrawn_evacuations(shared: &Rc<Shared>, newest: &Records) {
-    let domain = |key: &str| match (shared.dialect.wish)(key, None) {
-        Ok(Some(Wish::Evacuation { domain, .. })) => Some(domain),
+    let domain = |key: &str| match (shared.codec.command)(key, None) {
+        Ok(Some(Command::Evacuation { domain, .. })) => Some(domain),
         _ => None,
     };
     let on = newest.records.iter().filter_map(|record| domain(&record.key)).collect();
     // What was written since the reading began is read next.
     let unread: BTreeSet<String> = newest.beyond.iter().filter_map(|key| domain(key)).collect();
-    plans::evacuate_only(shared, &on, |domain| unread.contains(domain));
+    configuration::replace_evacuated(shared, &on, |domain| unread.contains(domain));
 }
 
 fn apply_command(shared: &Rc<Shared>, record: &Record) {
-    match (shared.dialect.wish)(&record.key, record.value.as_deref()) {
-        Ok(Some(Wish::Plan(plan))) => plans::take(shared, plan, "the store"),
-        Ok(Some(Wish::Version { model, version })) => plans::named(shared, &model, version),
-        Ok(Some(Wish::Evacuation { domain, is_on })) => plans::evacuate(shared, &domain, is_on),
+    match (shared.codec.command)(&record.key, record.value.as_deref()) {
+        Ok(Some(Command::Configuration(plan))) => configuration::adopt(shared, plan, "the store"),
+        Ok(Some(Command::Version { model, version })) => {
+            configuration::adopt_version(shared, &model, version)
+        }
+        Ok(Some(Command::Evacuation { domain, is_on })) => {
+            configuration::set_evacuated(shared, &domain, is_on)
+        }
         Ok(None) => {}
         Err(why) => {
-            shared.meters.plans_skipped.inc();
+            shared.meters.commands_skipped.inc();
             log::warn!("record {:?} of the operator skipped: {why}", record.key);
         }
     }
--- a/crates/hollywell/src/entry/member.rs
+++ b/crates/hollywell/src/entry/member.rs
@@ -220,8 +220,10 @@
     let known = fingerprint(shared.control.borrow().roster.members());
     let answer = peers::get(shared, source, &format!("{PATH}{known}"), IDLE_TIMEOUT).await?;
     let status = answer.head.status;
-    let body =
-        answer.whole(MAX_RESPONSE_BYTES, IDLE_TIMEOUT).await.map_err(|error| error.to_string())?;
+    let body = answer
+        .read_body(MAX_RESPONSE_BYTES, IDLE_TIMEOUT)
+        .await
+        .map_err(|error| error.to_string())?;
     if status != StatusCode::OK {
         return Err(status.to_string());
     }
--- a/crates/hollywell/src/entry/mod.rs
+++ b/crates/hollywell/src/entry/mod.rs
@@ -1,6 +1,6 @@
 //! An entry instance on a platform whose store is a log with keyed topics.
 //!
-//! The platform's names and formats come in through a [`dialect::Dialect`]
+//! The platform's names and formats come in through a [`codec::Codec`]
 //! and a [`store::Client`], both plain structs of closures that an adapter
 //! fills in; nothing here knows how anything is spelled. Decisions are taken
 //! in [`crate::core`]: [`crate::core::dispatch`] (what runs where),
@@ -14,8 +14,8 @@
 
 pub mod caller;
 pub mod capacity;
-pub mod carry;
-pub mod dialect;
+pub mod codec;
+pub mod configuration;
 pub mod duties;
 pub mod ends;
 pub mod exchange;
@@ -33,10 +33,10 @@
 pub mod orders;
 pub mod outbox;
 pub mod peers;
-pub mod plans;
 pub mod reader;
 pub mod relay;
 pub mod reload;
+pub mod resume;
 pub mod run;
 pub mod samples;
 pub mod serve;
@@ -45,5 +45,5 @@
 pub mod store;
 pub mod suspects;
 pub mod texts;
-mod unbegun;
+mod unstarted;
 pub mod usage;
--- a/crates/hollywell/src/entry/orders.rs
+++ b/crates/hollywell/src/entry/orders.rs
@@ -17,7 +17,7 @@
         roster,
     },
     entry::{
-        dialect::VersionOrder,
+        codec::VersionOrder,
         hints::{self, Hint},
         lease::Lease,
         shared::{Control, Shared},
@@ -140,7 +140,7 @@
             fence,
             expected: report.orders,
         };
-        let (path, body) = (shared.dialect.order)(&version_order);
+        let (path, body) = (shared.codec.order)(&version_order);
         issuer.lease.record_use(&shared);
         let status = call(&shared, &order.target, http::Method::POST, path, body).await;
         let status = status.map(|(status, _)| status.as_u16());
@@ -173,7 +173,7 @@
     issuer.roll.borrow_mut().failed(&order.target);
 }
 
-fn apply_report(shared: &Shared, order: &Order, report: &crate::entry::dialect::Report) {
+fn apply_report(shared: &Shared, order: &Order, report: &crate::entry::codec::Report) {
     let control = &mut *shared.control.borrow_mut();
     if control.fleet.started(&order.target, report.born)
         && let Some(address) = control.fleet.targets.get(&order.target).map(|t| t.said.address)
@@ -186,13 +186,13 @@
     }
 }
 
-async fn fetch_report(shared: &Rc<Shared>, target: &str) -> Option<crate::entry::dialect::Report> {
-    let path = shared.dialect.report_path;
+async fn fetch_report(shared: &Rc<Shared>, target: &str) -> Option<crate::entry::codec::Report> {
+    let path = shared.codec.report_path;
     let (status, body) = call(shared, target, http::Method::GET, path, Bytes::new()).await?;
     if !status.is_success() {
         return None;
     }
-    match (shared.dialect.report)(&body) {
+    match (shared.codec.report)(&body) {
         Ok(report) => Some(report),
         Err(why) => {
             log::warn!("report of {target}: {why}");
@@ -217,7 +217,7 @@
         .uri(path)
         .header(http::header::HOST, address.to_string())
         .header(http::header::CONTENT_TYPE, "application/json")
-        .header(&shared.dialect.headers.target, target)
+        .header(&shared.codec.headers.target, target)
         .body(Full::new(body))
         .ok()?;
     let answer = match shared.pool.send(address, request, CALL_TIMEOUT).await {
@@ -228,6 +228,6 @@
         }
     };
     let status = answer.head.status;
-    let body = answer.whole(MAX_REPORT_BYTES, CALL_TIMEOUT).await.ok()?;
+    let body = answer.read_body(MAX_REPORT_BYTES, CALL_TIMEOUT).await.ok()?;
     Some((status, body))
 }
--- a/crates/hollywell/src/entry/peers.rs
+++ b/crates/hollywell/src/entry/peers.rs
@@ -21,7 +21,10 @@
 
 use crate::{
     core::roster,
-    entry::{ends, exchange::Answer, feed, member, plans, relay, shared::Shared, suspects, usage},
+    entry::{
+        configuration, ends, exchange::IncomingResponse, feed, member, relay, shared::Shared,
+        suspects, usage,
+    },
 };
 
 /// How long a peer's connection may be idle.
@@ -48,7 +51,7 @@
     let answer = send(shared, member, Request::post(path), body, POST_TIMEOUT).await?;
     let status = answer.head.status;
     // Read to its end, so that the connection can be kept.
-    let read = answer.whole(MAX_MESSAGE_BYTES, POST_TIMEOUT).await;
+    let read = answer.read_body(MAX_MESSAGE_BYTES, POST_TIMEOUT).await;
     read.map_err(|error| error.to_string())?;
     if status == StatusCode::OK { Ok(()) } else { Err(status.to_string()) }
 }
@@ -64,7 +67,7 @@
     member: &str,
     path: &str,
     limit: Duration,
-) -> Result<Answer, String> {
+) -> Result<IncomingResponse, String> {
     send(shared, member, Request::get(path), Bytes::new(), limit).await
 }
 
@@ -74,7 +77,7 @@
     request: http::request::Builder,
     body: Bytes,
     limit: Duration,
-) -> Result<Answer, String> {
+) -> Result<IncomingResponse, String> {
     let address = roster::address(member).ok_or("no address in its name")?;
     let request = request.header(http::header::HOST, address.to_string()).body(Full::new(body));
     let request = request.map_err(|error| error.to_string())?;
@@ -128,7 +131,9 @@
         Method::GET if path.starts_with(feed::PATH) => feed::respond(shared, &path).await,
         Method::GET if path.starts_with(relay::PATH) => relay::respond(shared, &path).await,
         Method::GET if path.starts_with(member::PATH) => member::respond(shared, &path).await,
-        Method::GET if path.starts_with(plans::PATH) => plans::answer(shared, &path),
+        Method::GET if path.starts_with(configuration::PATH) => {
+            configuration::respond(shared, &path)
+        }
         _ => empty_response(StatusCode::NOT_FOUND),
     }
 }
--- a/crates/hollywell/src/entry/relay.rs
+++ b/crates/hollywell/src/entry/relay.rs
@@ -209,7 +209,7 @@
     let path = format!("{PATH}{}/{}", part.topic, part.number);
     let answer = peers::get(shared, parent, &path, IDLE_TIMEOUT).await?;
     let (status, age) = (answer.head.status, answer.header(&header::AGE).map(str::to_owned));
-    let body = answer.whole_unless_silent(MAX_RESPONSE_BYTES, IDLE_TIMEOUT).await;
+    let body = answer.read_body_with_idle_timeout(MAX_RESPONSE_BYTES, IDLE_TIMEOUT).await;
     let body = body.map_err(|error| error.to_string())?;
     match status {
         StatusCode::OK => {
@@ -251,7 +251,7 @@
 /// is large at a start.
 #[must_use]
 pub fn is_relayed(shared: &Shared, part: &Partition) -> bool {
-    part.topic == JOBS || part.topic == shared.dialect.announcements
+    part.topic == JOBS || part.topic == shared.codec.announcements
 }
 
 /// Whether a relayed partition was read from its beginning.
--- a/crates/hollywell/src/entry/shared.rs
+++ b/crates/hollywell/src/entry/shared.rs
@@ -32,8 +32,7 @@
         turn::Turns,
     },
     entry::{
-        carry,
-        dialect::Dialect,
+        codec::Codec,
         ends,
         exchange::Pool,
         feed::Feed,
@@ -42,12 +41,12 @@
         outbox,
         reader::Reader,
         relay::Relay,
-        run,
-        run::Text,
+        resume, run,
+        run::GeneratedText,
         settings::Settings,
         store::{Append, Appended, Client, Partition, Records, StoreError},
         suspects,
-        texts::Texts,
+        texts::TextCache,
         usage,
     },
 };
@@ -136,7 +135,7 @@
     /// Newest weights of each model, and how much of it is asked for.
     pub models: Models,
     /// Text of samples that are not listed.
-    pub partial_texts: HashMap<Slot, Text>,
+    pub partial_texts: HashMap<Slot, GeneratedText>,
     /// Bundles of samples that this instance runs.
     pub bundles: HashMap<(String, usize), Rc<Bundle>>,
     /// Runs in flight.
@@ -196,7 +195,7 @@
     /// Settings.
     pub settings: Settings,
     /// How the platform spells things.
-    pub dialect: Dialect,
+    pub codec: Codec,
     /// The store, for what is not a read.
     pub store: Client,
     /// Reads of the store.
@@ -234,7 +233,7 @@
     /// Results on their way to the store, by partition.
     pub outbox: Vec<outbox::Outbox>,
     /// Whole texts that were read or written lately.
-    pub text_cache: Texts,
+    pub text_cache: TextCache,
     /// What is known against requests and not in the store yet.
     pub unsaved_suspects: suspects::UnsavedSuspects,
     /// Turns to try suspects that this instance gives out.
@@ -270,7 +269,7 @@
 
     /// Notes whether a call of the store went well.
     pub fn record_store_result(&self, well: bool) {
-        self.meters.store.with_label_values(&[if well { "yes" } else { "no" }]).inc();
+        self.meters.store_calls.with_label_values(&[if well { "yes" } else { "no" }]).inc();
         let now = self.now();
         let mut control = self.control.borrow_mut();
         if well {
@@ -302,7 +301,7 @@
         let stored = append.stored();
         let allowed = self.control.borrow().capacity.allows(self.now(), append.purpose, stored);
         if !allowed {
-            self.meters.unstored.with_label_values(&[purpose, "kept_back"]).inc();
+            self.meters.failed_appends.with_label_values(&[purpose, "kept_back"]).inc();
             return Err(StoreError::Full);
         }
         let appended = (self.store.append)(append).await;
@@ -315,14 +314,14 @@
             Ok(_) => {
                 self.control.borrow_mut().capacity.appended(stored);
                 let bytes = u64::try_from(bytes).unwrap_or(u64::MAX);
-                self.meters.stored.with_label_values(&[purpose]).inc_by(bytes);
+                self.meters.appended_bytes.with_label_values(&[purpose]).inc_by(bytes);
             }
             Err(fault) => {
                 if *fault == StoreError::Full {
                     let now = self.now();
                     self.control.borrow_mut().capacity.refused(now);
                 }
-                self.meters.unstored.with_label_values(&[purpose, fault.as_str()]).inc();
+                self.meters.failed_appends.with_label_values(&[purpose, fault.as_str()]).inc();
             }
         }
         appended
@@ -487,7 +486,7 @@
     fn partial_text_grew(self: &Rc<Shared>, part: usize, slot: Slot) {
         let kept = {
             let control = self.control.borrow();
-            let Some(own) = control.partial_texts.get(&slot).map(|text| text.last) else {
+            let Some(own) = control.partial_texts.get(&slot).map(|text| text.last_event) else {
                 return;
             };
             let job = control.partitions[part].index.jobs.get(&slot.job);
@@ -531,7 +530,7 @@
             };
             let tokens = head.samples.iter().map(|sample| u64::from(sample.tokens)).sum();
             control.models.asked(&head.model, tokens, head.samples.len() as u64);
-            work.samples = carry::items(&mut control.partitions, part, &work.job, &head);
+            work.samples = resume::items(&mut control.partitions, part, &work.job, &head);
             work
         };
         log::debug!("job {} opened: {} samples", work.job, work.samples.len());
--- a/crates/hollywell/src/entry/suspects.rs
+++ b/crates/hollywell/src/entry/suspects.rs
@@ -247,7 +247,7 @@
     digest: Digest,
     is_alone: bool,
 ) -> bool {
-    if !shared.pool.has_ended(target.address).await {
+    if !shared.pool.has_exited(target.address).await {
         return false;
     }
     let life = target.life();
