--- a/crates/hollywell/src/entry/forward.rs
+++ b/crates/hollywell/src/entry/forward.rs
@@ -28,7 +28,7 @@
     entry::{
         exchange::{Error, IncomingResponse},
         shared::Shared,
-        suspects::{self, Trial},
+        suspects::{self, ProbeTarget},
         usage,
     },
     error::Kind,
@@ -109,14 +109,14 @@
     /// Counts it for its organisation as it is sent for the first time.
     fn begin(&self, shared: &Shared) {
         if self.began.get().is_none() {
-            self.began.set(usage::begin(shared, &self.organisation));
+            self.began.set(usage::count_request(shared, &self.organisation));
         }
     }
 
     /// Takes that back.
     fn undo_begin(&self, shared: &Shared) {
         if let Some(window) = self.began.take() {
-            usage::undo(shared, window, &self.organisation);
+            usage::uncount_request(shared, window, &self.organisation);
         }
     }
 }
@@ -249,7 +249,7 @@
                     tokio::time::sleep(PAUSE).await;
                     continue;
                 }
-                let Some(turn) = suspects::turn(shared, pool).await else {
+                let Some(turn) = suspects::acquire_probe_permit(shared, pool).await else {
                     tokio::time::sleep(PAUSE).await;
                     continue;
                 };
@@ -257,10 +257,12 @@
                 if suspects::verdict(shared, || plain.digest()) != Verdict::Suspect {
                     continue;
                 }
-                match suspects::trial(shared, pool, plain.digest()) {
-                    Trial::At(target) if has_room(shared, &target) => (Some(*target), Some(turn)),
-                    Trial::At(_) => (None, None),
-                    Trial::Nowhere => {
+                match suspects::probe_target(shared, pool, plain.digest()) {
+                    ProbeTarget::At(target) if has_room(shared, &target) => {
+                        (Some(*target), Some(turn))
+                    }
+                    ProbeTarget::At(_) => (None, None),
+                    ProbeTarget::Nowhere => {
                         attempt.come_back_ms = Some(LAST_SOUND_PAUSE_MS);
                         break;
                     }
@@ -268,7 +270,7 @@
             }
         };
         let Some(target) = target else {
-            if shared.world.borrow().stopping {
+            if shared.control.borrow().stopping {
                 break;
             }
             if let hold::Next::Reject(ms) = hold::next(sight(shared, route, salt, left_ms)) {
@@ -296,7 +298,7 @@
         }
         if let SendOutcome::Answered(_) = &sent {
             let took_ms = shared.now().since(now);
-            shared.world.borrow_mut().sights.answered(&target.id, took_ms);
+            shared.control.borrow_mut().observations.answered(&target.id, took_ms);
         }
         if let Some(whole) = attempt.note(route, target.id, sent) {
             return ForwardResult::Answered(whole);
@@ -312,12 +314,12 @@
 
 /// What is known of a route's targets where none of them can take a request.
 fn sight(shared: &Shared, route: &Route, salt: u64, left_ms: u64) -> hold::Sight {
-    let world = shared.world.borrow();
+    let control = shared.control.borrow();
     let pool = pick_pool(route, salt).unwrap_or("");
-    let usable = || world.fleet.usable(pool).map(|target| target.said.id.as_str());
-    let answers = usable().filter_map(|id| world.sights.of(id)?.answer_ms);
+    let usable = || control.fleet.usable(pool).map(|target| target.said.id.as_str());
+    let answers = usable().filter_map(|id| control.observations.of(id)?.answer_ms);
     let usual_ms = answers.min_by(f64::total_cmp).map(|ms| ms as u64);
-    hold::Sight { known: world.fleet_known, usable: usable().count(), usual_ms, left_ms }
+    hold::Sight { known: control.fleet_loaded, usable: usable().count(), usual_ms, left_ms }
 }
 
 fn patience(route: &Route) -> u64 {
@@ -325,23 +327,24 @@
 }
 
 fn choose(shared: &Shared, route: &Route, tried: &[String], salt: u64) -> Option<Announcement> {
-    let world = shared.world.borrow();
+    let control = shared.control.borrow();
     let pool = pick_pool(route, salt)?;
     let now = shared.now();
-    let all = || world.fleet.usable(pool).map(|target| &target.said);
-    let reserved = suspects::reserved(shared, pool);
+    let all = || control.fleet.usable(pool).map(|target| &target.said);
+    let reserved = suspects::reserved_target(shared, pool);
     let is_reserved = |target: &Announcement| reserved.as_ref() == Some(&target.id);
     let fresh = all().filter(|target| !tried.contains(&target.id) && !is_reserved(target));
     // Instances that know nothing of any target must not all pick the same.
-    let mine = xxhash_rust::xxh3::xxh3_64(shared.me.as_bytes());
+    let mine = xxhash_rust::xxh3::xxh3_64(shared.instance_id.as_bytes());
     let salt = mine ^ salt.wrapping_add(tried.len() as u64);
     let need = Need { events: 1.0, most_load: MOST_LOAD, sharers: 1.0, salt };
-    let choice = world.sights.choose(now, fresh, need);
+    let choice = control.observations.choose(now, fresh, need);
     // Where every other one was asked or is avoided, one that was asked
     // before is better than nobody: the request's time is running.
     let choice = choice.or_else(|| {
         let times = |target: &&Announcement| tried.iter().filter(|id| **id == target.id).count();
-        let usable = all().filter(|target| world.sights.load_of(now, &target.id) < full(target));
+        let usable =
+            all().filter(|target| control.observations.load_of(now, &target.id) < full(target));
         usable.min_by_key(times)
     });
     choice.cloned()
@@ -349,8 +352,8 @@
 
 /// Whether a target may be asked once more.
 fn has_room(shared: &Shared, target: &Announcement) -> bool {
-    let world = shared.world.borrow();
-    world.sights.load_of(shared.now(), &target.id) < full(target)
+    let control = shared.control.borrow();
+    control.observations.load_of(shared.now(), &target.id) < full(target)
 }
 
 /// Requests at a target from which on it is not asked.
@@ -388,16 +391,16 @@
 
 async fn send(shared: &Rc<Shared>, route: &Route, trip: &SendAttempt<'_>) -> SendOutcome {
     let &SendAttempt { plain, target, limit_ms, left_ms, .. } = trip;
-    shared.world.borrow_mut().sights.sent(&target.id);
+    shared.control.borrow_mut().observations.sent(&target.id);
     let _count = Counted { shared, id: &target.id };
     let limit = Duration::from_millis(limit_ms);
     let started = shared.now();
     let wanted = || {
-        let may_reach = shared.may_reach(target);
-        if may_reach {
+        let may_send_to = shared.may_send_to(target);
+        if may_send_to {
             plain.begin(shared);
         }
-        may_reach
+        may_send_to
     };
     let first = request(shared, plain, target, left_ms);
     let mut answer = shared.pool.send_if(target.address, first, limit, wanted).await;
@@ -430,7 +433,7 @@
             note_unanswered(shared, plain, target, &error);
             if error != Error::StaleConnection {
                 let now = shared.now();
-                shared.world.borrow_mut().sights.broke(now, &target.id);
+                shared.control.borrow_mut().observations.broke(now, &target.id);
             }
             if error.is_not_sent() {
                 // The send before it may have run.
@@ -459,7 +462,7 @@
 impl Drop for Counted<'_> {
     fn drop(&mut self) {
         let now = self.shared.now();
-        self.shared.world.borrow_mut().sights.ended(now, self.id);
+        self.shared.control.borrow_mut().observations.ended(now, self.id);
     }
 }
 
@@ -473,13 +476,13 @@
     let names = &shared.codec.headers;
     let now = shared.now();
     if let Some(load) = answer.header(&names.load).and_then(shared.codec.load) {
-        shared.world.borrow_mut().sights.load(now, &target.id, load);
+        shared.control.borrow_mut().observations.load(now, &target.id, load);
     }
     let status = answer.head.status;
     let not_run = answer.head.headers.contains_key(&names.not_run)
         || status == StatusCode::MISDIRECTED_REQUEST;
     if not_run {
-        shared.world.borrow_mut().sights.full(now, &target.id);
+        shared.control.borrow_mut().observations.full(now, &target.id);
         log::debug!("request {} at {}: not run, {status}", plain.id, target.id);
         return SendOutcome::NotRun;
     }
@@ -497,8 +500,8 @@
             for name in HOP_BY_HOP.iter().chain([&header::CONTENT_LENGTH]) {
                 headers.remove(name);
             }
-            shared.world.borrow_mut().sights.sound(now, &target.id);
-            suspects::served(shared, || plain.digest());
+            shared.control.borrow_mut().observations.sound(now, &target.id);
+            suspects::record_served(shared, || plain.digest());
             SendOutcome::Answered(TargetResponse { status, headers, body })
         }
         Err(error) => {
@@ -520,9 +523,9 @@
 
 /// Whether the target has ended under a send.
 async fn look(shared: &Rc<Shared>, trip: &SendAttempt<'_>) -> bool {
-    let mine = shared.world.borrow().sights.of(&trip.target.id).map(|sight| sight.mine);
+    let mine = shared.control.borrow().observations.of(&trip.target.id).map(|sight| sight.mine);
     let is_alone = trip.is_trial && mine == Some(1);
-    suspects::look(shared, trip.target, trip.plain.digest(), is_alone).await
+    suspects::check_ended(shared, trip.target, trip.plain.digest(), is_alone).await
 }
 
 fn request(
--- a/crates/hollywell/src/entry/serve.rs
+++ b/crates/hollywell/src/entry/serve.rs
@@ -23,19 +23,19 @@
         choice::Sights, dispatch, ending, fleet::Fleet, group::Census, poison, room, roster::Roster,
     },
     entry::{
-        self, clean,
+        self,
         codec::Codec,
         configuration, duties, ends,
         exchange::Pool,
         feed::Feed,
-        follow, ingress, member,
+        follow, garbage, hints, ingress, member,
         meters::Meters,
-        news, orders, outbox, peers,
+        orders, outbox, peers,
         reader::Reader,
         relay::Relay,
         reload,
         settings::{Settings, Store},
-        shared::{JOB_PARTS, Shared, Shelf, World},
+        shared::{Control, JOB_PARTS, JobPartition, Shared},
         store::Client,
         suspects,
         texts::TextCache,
@@ -86,7 +86,7 @@
 }
 
 fn share(adapter: &Adapter, settings: Settings) -> prometheus::Result<Rc<Shared>> {
-    let incarnation = crate::entry::shared::wall_ms();
+    let incarnation = crate::entry::shared::unix_ms();
     let domain = settings.domains.iter().position(|name| *name == settings.domain);
     let link = Some(settings.link_mbps).filter(|mbps| *mbps > 0);
     let link = link.map(|mbps| format!("*{mbps}")).unwrap_or_default();
@@ -94,27 +94,27 @@
     let me = format!("{}@{}{domain}/{incarnation:x}", settings.name, settings.peer_listen);
     let writer = format!("{:08x}", xxhash_rust::xxh3::xxh3_64(me.as_bytes()) & u64::from(u32::MAX));
     let parts = JOB_PARTS.min(settings.store.parts).max(1) as usize;
-    let world = World {
-        plan: None,
-        plan_at: None,
+    let control = Control {
+        configuration: None,
+        configuration_read_at: None,
         fleet: Fleet::default(),
-        sights: Sights::default(),
+        observations: Sights::default(),
         dispatch: dispatch::State::new(&me).within(&settings.domain),
         ending: ending::State::new(&me),
         poison: poison::State::default(),
-        poison_known: false,
-        room: room::State::new(settings.store.room_bytes),
-        others: std::collections::HashMap::new(),
-        shelves: (0..parts).map(|_| Shelf::default()).collect(),
+        poison_loaded: false,
+        capacity: room::State::new(settings.store.room_bytes),
+        other_logs: std::collections::HashMap::new(),
+        partitions: (0..parts).map(|_| JobPartition::default()).collect(),
         models: crate::core::roll::Models::default(),
-        texts: std::collections::HashMap::new(),
+        partial_texts: std::collections::HashMap::new(),
         bundles: std::collections::HashMap::new(),
         runs: std::collections::HashMap::new(),
-        unopened: vec![],
+        unopened_jobs: vec![],
         roster: Roster::new(&me),
         census: Census::default(),
-        store_bad_since: None,
-        fleet_known: false,
+        store_failing_since: None,
+        fleet_loaded: false,
         stopping: false,
     };
     let pool = Pool::new();
@@ -128,22 +128,22 @@
         store,
         pool,
         clock: Clock::start(),
-        me,
-        writer,
-        written: Cell::new(0),
-        world: RefCell::new(world),
-        configured: Notify::new(),
-        regrouped: Notify::new(),
+        instance_id: me,
+        writer_id: writer,
+        keys_issued: Cell::new(0),
+        control: RefCell::new(control),
+        configuration_read: Notify::new(),
+        group_changed: Notify::new(),
         membership: member::Membership::default(),
-        accepted: (0..parts).map(|_| Notify::new()).collect(),
-        readers: (0..parts).map(|_| Cell::new(0)).collect(),
-        listed: (0..parts).map(|_| Notify::new()).collect(),
+        job_accepted: (0..parts).map(|_| Notify::new()).collect(),
+        result_waiters: (0..parts).map(|_| Cell::new(0)).collect(),
+        partition_changed: (0..parts).map(|_| Notify::new()).collect(),
         outbox: (0..parts).map(|_| outbox::Outbox::default()).collect(),
-        texts: TextCache::default(),
-        turns: RefCell::default(),
+        text_cache: TextCache::default(),
+        probe_permits: RefCell::default(),
         usage: usage::Usage::default(),
-        unsaved: suspects::Unsaved::default(),
-        orphans: clean::Orphans::default(),
+        unsaved_suspects: suspects::UnsavedSuspects::default(),
+        orphans: garbage::Orphans::default(),
         stop: watch::channel(false).0,
         settings,
     }))
@@ -160,29 +160,34 @@
     let ready = TcpListener::bind(settings.ready_listen).await?;
     let metrics = TcpListener::bind(settings.metrics_listen).await?;
     let peer_listener = TcpListener::bind(settings.peer_listen).await?;
-    log::info!("{} listens on {}, settings {}", shared.me, settings.listen, path.display());
+    log::info!(
+        "{} listens on {}, settings {}",
+        shared.instance_id,
+        settings.listen,
+        path.display()
+    );
     let open = Rc::new(ingress::OpenRequests::default());
     let spawn = tokio::task::spawn_local::<std::pin::Pin<Box<dyn Future<Output = ()>>>>;
     // In the order in which they are read from the store at a start: what is
     // small and needed for every request before the jobs.
     spawn(Box::pin(follow::commands(shared.clone())));
     spawn(Box::pin(configuration::serve(shared.clone())));
-    spawn(Box::pin(follow::fleet(shared.clone())));
-    spawn(Box::pin(news::serve(shared.clone())));
+    spawn(Box::pin(follow::targets(shared.clone())));
+    spawn(Box::pin(hints::serve(shared.clone())));
     spawn(Box::pin(suspects::serve(shared.clone())));
     spawn(Box::pin(suspects::save(shared.clone())));
-    for part in 0..shared.listed.len() {
+    for part in 0..shared.partition_changed.len() {
         spawn(Box::pin(follow::jobs(shared.clone(), part)));
     }
-    spawn(Box::pin(member::stay(shared.clone())));
-    spawn(Box::pin(member::watch(shared.clone())));
+    spawn(Box::pin(member::heartbeat(shared.clone())));
+    spawn(Box::pin(member::follow_members(shared.clone())));
     spawn(Box::pin(orders::serve(shared.clone())));
-    spawn(Box::pin(usage::save(shared.clone())));
+    spawn(Box::pin(usage::store_counts(shared.clone())));
     spawn(Box::pin(duties::serve(shared.clone())));
-    spawn(Box::pin(clean::serve(shared.clone())));
+    spawn(Box::pin(garbage::serve(shared.clone())));
     spawn(Box::pin(peers::serve(shared.clone(), peer_listener)));
-    spawn(Box::pin(ends::watch(shared.clone())));
-    spawn(Box::pin(entry::room::serve(shared.clone())));
+    spawn(Box::pin(ends::tick(shared.clone())));
+    spawn(Box::pin(entry::capacity::serve(shared.clone())));
     spawn(Box::pin(reload::serve(shared.clone(), path.to_owned())));
     spawn(Box::pin(tick(shared.clone())));
     spawn(Box::pin(save(shared.clone())));
@@ -198,9 +203,9 @@
     log::info!("stopping: {} requests open", open.count());
     let end = tokio::time::Instant::now() + shared.settings.times.grace.mul_f64(GRACE_SHARE);
     {
-        let mut world = shared.world.borrow_mut();
-        world.stopping = true;
-        world.roster.leave();
+        let mut control = shared.control.borrow_mut();
+        control.stopping = true;
+        control.roster.leave();
     }
     shared.stop.send_replace(true);
     outbox::save_partials(shared, 1).await;
@@ -223,8 +228,8 @@
     loop {
         tokio::time::sleep(TICK).await;
         let now = shared.now();
-        shared.world.borrow_mut().fleet.expire(now);
-        shared.tell(&dispatch::Event::Tick);
+        shared.control.borrow_mut().fleet.expire(now);
+        shared.handle_event(&dispatch::Event::Tick);
         if swept.elapsed() > SWEEP {
             swept = tokio::time::Instant::now();
             shared.pool.sweep();
