--- a/crates/hollywell/src/entry/caller.rs
+++ b/crates/hollywell/src/entry/caller.rs
@@ -14,8 +14,8 @@
 
 use crate::{
     core::{
+        configuration::{Configuration, Route},
         organisation::{Directory, Organisation, Stranger},
-        plan::{Plan, Route},
     },
     entry::{configuration, shared::Shared},
     error::Kind,
@@ -76,7 +76,7 @@
 /// The route of a request, and who may use it.
 fn for_route(
     shared: &Shared,
-    plan: &Plan,
+    plan: &Configuration,
     host: &str,
     path: &str,
     headers: &HeaderMap,
@@ -96,7 +96,12 @@
 }
 
 /// Who asks about a job of a host.
-fn for_job(shared: &Shared, plan: &Plan, host: &str, headers: &HeaderMap) -> Result<Caller, Kind> {
+fn for_job(
+    shared: &Shared,
+    plan: &Configuration,
+    host: &str,
+    headers: &HeaderMap,
+) -> Result<Caller, Kind> {
     let Some(directory) = &plan.organisations else {
         return Ok(Caller::Unrestricted);
     };
@@ -133,7 +138,7 @@
 
 async fn with_current_configuration<T>(
     shared: &Rc<Shared>,
-    judge: impl Fn(&Plan) -> Result<T, Kind>,
+    judge: impl Fn(&Configuration) -> Result<T, Kind>,
 ) -> Result<T, Kind> {
     let until = Instant::now() + CONFIGURATION_WAIT;
     loop {
@@ -159,7 +164,7 @@
 }
 
 /// Whether it is so old that a key must not be taken for good any more.
-fn is_too_old(shared: &Shared, plan: &Plan) -> bool {
+fn is_too_old(shared: &Shared, plan: &Configuration) -> bool {
     let Some(revoke) = shared.settings.times.revoke else {
         return false;
     };
--- a/crates/hollywell/src/entry/configuration.rs
+++ b/crates/hollywell/src/entry/configuration.rs
@@ -20,7 +20,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::{
-    core::{plan::Plan, time::Time},
+    core::{configuration::Configuration, time::Time},
     entry::{peers, shared::Shared},
 };
 
@@ -46,7 +46,7 @@
     /// The configuration's version.
     version: u64,
     /// The configuration, if it is newer than the asker's.
-    plan: Option<Plan>,
+    plan: Option<Configuration>,
     /// Newest weights of each model.
     named: BTreeMap<String, u64>,
     /// Failure domains that are evacuated; `None` from a peer that does not
@@ -56,7 +56,7 @@
 }
 
 /// Puts a configuration in force, if it is newer.
-pub(super) fn adopt(shared: &Shared, plan: Plan, from: &str) {
+pub(super) fn adopt(shared: &Shared, plan: Configuration, from: &str) {
     let mut control = shared.control.borrow_mut();
     let before = control.configuration.as_ref().map_or(0, |plan| plan.version);
     if plan.version > before {
@@ -69,7 +69,7 @@
 /// Takes over which weights of a model are the newest.
 pub(super) fn adopt_version(shared: &Shared, model: &str, version: u64) {
     let mut control = shared.control.borrow_mut();
-    let named = control.models.named.entry(model.to_owned()).or_insert(0);
+    let named = control.models.newest.entry(model.to_owned()).or_insert(0);
     if *named < version {
         *named = version;
         log::info!("model {model} is named version {version}");
@@ -187,7 +187,7 @@
     let version = control.configuration.as_ref().map_or(0, |plan| plan.version);
     let plan = control.configuration.as_deref().filter(|plan| plan.version > have).cloned();
     let evacuated = Some(control.fleet.evacuated().clone());
-    let message = Message { age_ms, version, plan, named: control.models.named.clone(), evacuated };
+    let message = Message { age_ms, version, plan, named: control.models.newest.clone(), evacuated };
     match serde_json::to_vec(&message) {
         Ok(bytes) => Response::new(Full::new(bytes.into())),
         Err(error) => {
--- a/crates/hollywell/src/entry/ends.rs
+++ b/crates/hollywell/src/entry/ends.rs
@@ -12,8 +12,8 @@
 use crate::{
     core::{
         batch,
+        capacity::Purpose,
         ending::{Effect, Event},
-        room::Use,
     },
     entry::{
         jobs::JobReply,
@@ -56,7 +56,7 @@
             Effect::Append(job) => {
                 tokio::task::spawn_local(append(shared.clone(), job));
             }
-            Effect::Tell { member, jobs } => {
+            Effect::Notify { member, jobs } => {
                 tokio::task::spawn_local(notify_peer(shared.clone(), member, jobs));
             }
         }
@@ -66,7 +66,7 @@
 /// Ends a job for a caller: it stops at once, whatever the store does. The
 /// answer is [`JobReply::Done`] only once the store has the end.
 pub async fn end_job(shared: &Rc<Shared>, job: &str, known: bool) -> JobReply {
-    handle_event(shared, &Event::Asked { job: job.to_owned(), known });
+    handle_event(shared, &Event::Requested { job: job.to_owned(), known });
     if !known {
         return JobReply::OutcomeUnknown;
     }
@@ -121,7 +121,7 @@
     let part = Partition::at(JOBS, shared.partition_of(job));
     let (key, value) = batch::end_record(job);
     let records = vec![(Some(key), value)];
-    shared.append(Append { part, records, expected_end: None, purpose: Use::End }).await
+    shared.append(Append { part, records, expected_end: None, purpose: Purpose::End }).await
 }
 
 async fn append(shared: Rc<Shared>, job: String) {
@@ -181,6 +181,6 @@
     };
     log::info!("{by} tells of ends of {}", jobs.join(" "));
     let (_read, open): (Vec<_>, Vec<_>) = jobs.into_iter().partition(|job| is_ended(shared, job));
-    handle_event(shared, &Event::Told { by, jobs: open });
+    handle_event(shared, &Event::Reported { by, jobs: open });
     peers::empty_response(StatusCode::OK)
 }
--- a/crates/hollywell/src/entry/forward.rs
+++ b/crates/hollywell/src/entry/forward.rs
@@ -18,10 +18,10 @@
 
 use crate::{
     core::{
+        admission,
         choice::Need,
+        configuration::{Route, RouteKind},
         fleet::Announcement,
-        hold,
-        plan::{Repeat, Route},
         poison::{Digest, Verdict},
         time::Time,
     },
@@ -180,7 +180,7 @@
     /// Whether another target may be asked.
     fn may_go_on(&self, route: &Route) -> bool {
         let tried = u32::try_from(self.tried.len()).unwrap_or(u32::MAX);
-        let is_safe = route.repeat == Repeat::Safe || !self.ran;
+        let is_safe = route.kind == RouteKind::Idempotent || !self.ran;
         tried < route.attempts.max(1) && self.ends < MOST_ENDS && is_safe
     }
 
@@ -198,7 +198,7 @@
             SendOutcome::Answered(whole) => {
                 self.ran = true;
                 let is_failure = whole.status == StatusCode::INTERNAL_SERVER_ERROR;
-                if !is_failure || route.repeat != Repeat::Safe {
+                if !is_failure || route.kind != RouteKind::Idempotent {
                     return Some(whole);
                 }
                 self.failure = Some(whole);
@@ -273,7 +273,9 @@
             if shared.control.borrow().stopping {
                 break;
             }
-            if let hold::Next::Reject(ms) = hold::next(sight(shared, route, salt, left_ms)) {
+            if let admission::Decision::Reject(ms) =
+                admission::decide(situation(shared, route, salt, left_ms))
+            {
                 attempt.come_back_ms = Some(ms);
                 break;
             }
@@ -281,8 +283,8 @@
             continue;
         };
         let last = attempt.tried.len() + 1 >= route.attempts.max(1) as usize;
-        let limit_ms = match route.repeat {
-            Repeat::Safe if !last => patience(route).min(left_ms),
+        let limit_ms = match route.kind {
+            RouteKind::Idempotent if !last => patience(route).min(left_ms),
             _ => left_ms,
         };
         let began = plain.began.get();
@@ -298,7 +300,7 @@
         }
         if let SendOutcome::Answered(_) = &sent {
             let took_ms = shared.now().since(now);
-            shared.control.borrow_mut().observations.answered(&target.id, took_ms);
+            shared.control.borrow_mut().observations.record_answer_time(&target.id, took_ms);
         }
         if let Some(whole) = attempt.note(route, target.id, sent) {
             return ForwardResult::Answered(whole);
@@ -313,13 +315,13 @@
 }
 
 /// What is known of a route's targets where none of them can take a request.
-fn sight(shared: &Shared, route: &Route, salt: u64, left_ms: u64) -> hold::Sight {
+fn situation(shared: &Shared, route: &Route, salt: u64, left_ms: u64) -> admission::Situation {
     let control = shared.control.borrow();
     let pool = pick_pool(route, salt).unwrap_or("");
-    let usable = || control.fleet.usable(pool).map(|target| target.said.id.as_str());
-    let answers = usable().filter_map(|id| control.observations.of(id)?.answer_ms);
+    let usable = || control.fleet.usable(pool).map(|target| target.announcement.id.as_str());
+    let answers = usable().filter_map(|id| control.observations.get(id)?.answer_ms);
     let usual_ms = answers.min_by(f64::total_cmp).map(|ms| ms as u64);
-    hold::Sight { known: control.fleet_loaded, usable: usable().count(), usual_ms, left_ms }
+    admission::Situation { known: control.fleet_loaded, usable: usable().count(), usual_ms, left_ms }
 }
 
 fn patience(route: &Route) -> u64 {
@@ -330,14 +332,14 @@
     let control = shared.control.borrow();
     let pool = pick_pool(route, salt)?;
     let now = shared.now();
-    let all = || control.fleet.usable(pool).map(|target| &target.said);
+    let all = || control.fleet.usable(pool).map(|target| &target.announcement);
     let reserved = suspects::reserved_target(shared, pool);
     let is_reserved = |target: &Announcement| reserved.as_ref() == Some(&target.id);
     let fresh = all().filter(|target| !tried.contains(&target.id) && !is_reserved(target));
     // Instances that know nothing of any target must not all pick the same.
     let mine = xxhash_rust::xxh3::xxh3_64(shared.instance_id.as_bytes());
     let salt = mine ^ salt.wrapping_add(tried.len() as u64);
-    let need = Need { events: 1.0, most_load: MOST_LOAD, sharers: 1.0, salt };
+    let need = Need { events: 1.0, max_load: MOST_LOAD, instances: 1.0, salt };
     let choice = control.observations.choose(now, fresh, need);
     // Where every other one was asked or is avoided, one that was asked
     // before is better than nobody: the request's time is running.
@@ -391,7 +393,7 @@
 
 async fn send(shared: &Rc<Shared>, route: &Route, trip: &SendAttempt<'_>) -> SendOutcome {
     let &SendAttempt { plain, target, limit_ms, left_ms, .. } = trip;
-    shared.control.borrow_mut().observations.sent(&target.id);
+    shared.control.borrow_mut().observations.request_started(&target.id);
     let _count = Counted { shared, id: &target.id };
     let limit = Duration::from_millis(limit_ms);
     let started = shared.now();
@@ -407,7 +409,7 @@
     // A kept connection that had ended says nothing about a target that
     // lives; what may be repeated goes out again at once, on another one.
     let may_have_run = matches!(answer, Err(Error::StaleConnection));
-    if may_have_run && route.repeat == Repeat::Safe {
+    if may_have_run && route.kind == RouteKind::Idempotent {
         note_unanswered(shared, plain, target, &Error::StaleConnection);
         if look(shared, trip).await {
             return SendOutcome::TargetExited;
@@ -433,7 +435,7 @@
             note_unanswered(shared, plain, target, &error);
             if error != Error::StaleConnection {
                 let now = shared.now();
-                shared.control.borrow_mut().observations.broke(now, &target.id);
+                shared.control.borrow_mut().observations.record_failure(now, &target.id);
             }
             if error.is_not_sent() {
                 // The send before it may have run.
@@ -448,7 +450,7 @@
 /// other targets and instances.
 fn note_unanswered(shared: &Shared, plain: &PlainRequest, target: &Announcement, error: &Error) {
     shared.meters.unanswered.with_label_values(&[error.as_str()]).inc();
-    let life = target.life();
+    let life = target.incarnation();
     log::info!("request {} ({}) at {life}: {error}", plain.id, plain.digest());
 }
 
@@ -462,7 +464,7 @@
 impl Drop for Counted<'_> {
     fn drop(&mut self) {
         let now = self.shared.now();
-        self.shared.control.borrow_mut().observations.ended(now, self.id);
+        self.shared.control.borrow_mut().observations.request_ended(now, self.id);
     }
 }
 
@@ -476,13 +478,13 @@
     let names = &shared.codec.headers;
     let now = shared.now();
     if let Some(load) = answer.header(&names.load).and_then(shared.codec.load) {
-        shared.control.borrow_mut().observations.load(now, &target.id, load);
+        shared.control.borrow_mut().observations.record_load(now, &target.id, load);
     }
     let status = answer.head.status;
     let not_run = answer.head.headers.contains_key(&names.not_run)
         || status == StatusCode::MISDIRECTED_REQUEST;
     if not_run {
-        shared.control.borrow_mut().observations.full(now, &target.id);
+        shared.control.borrow_mut().observations.record_refusal(now, &target.id);
         log::debug!("request {} at {}: not run, {status}", plain.id, target.id);
         return SendOutcome::NotRun;
     }
@@ -500,7 +502,7 @@
             for name in HOP_BY_HOP.iter().chain([&header::CONTENT_LENGTH]) {
                 headers.remove(name);
             }
-            shared.control.borrow_mut().observations.sound(now, &target.id);
+            shared.control.borrow_mut().observations.record_success(now, &target.id);
             suspects::record_served(shared, || plain.digest());
             SendOutcome::Answered(TargetResponse { status, headers, body })
         }
@@ -523,7 +525,8 @@
 
 /// Whether the target has ended under a send.
 async fn look(shared: &Rc<Shared>, trip: &SendAttempt<'_>) -> bool {
-    let mine = shared.control.borrow().observations.of(&trip.target.id).map(|sight| sight.mine);
+    let mine =
+        shared.control.borrow().observations.get(&trip.target.id).map(|seen| seen.own_requests);
     let is_alone = trip.is_trial && mine == Some(1);
     suspects::check_ended(shared, trip.target, trip.plain.digest(), is_alone).await
 }
--- a/crates/hollywell/src/entry/garbage.rs
+++ b/crates/hollywell/src/entry/garbage.rs
@@ -13,8 +13,8 @@
 use crate::{
     core::{
         batch::{self, Book, Keys, Spare, Terms},
+        capacity::Purpose,
         dispatch::owner,
-        room::Use,
         time::Time,
     },
     entry::{
@@ -250,7 +250,7 @@
 ) -> Result<(), StoreError> {
     for some in keys.chunks(MAX_BATCH) {
         let records = some.iter().map(|key| (Some(key.clone()), Bytes::new())).collect();
-        let (part, purpose) = (part.clone(), Use::Drop);
+        let (part, purpose) = (part.clone(), Purpose::Delete);
         shared.append(Append { part, records, expected_end: None, purpose }).await?;
     }
     Ok(())
--- a/crates/hollywell/src/entry/ingress.rs
+++ b/crates/hollywell/src/entry/ingress.rs
@@ -19,7 +19,7 @@
 
 use crate::{
     core::{
-        plan::{Plan, Repeat, Route},
+        configuration::{Configuration, Route, RouteKind},
         time::Time,
     },
     entry::{
@@ -200,7 +200,7 @@
         && control.configuration.is_some()
         && control.poison_loaded
         && control.fleet_loaded
-        && !control.fleet.store_away
+        && !control.fleet.store_unavailable
 }
 
 /// All meters as text.
@@ -237,7 +237,7 @@
 
 /// The configuration, once it is known, and what is known against requests
 /// with it: an instance that starts must not end targets that others spare.
-fn known_plan(shared: &Shared) -> Option<Rc<Plan>> {
+fn known_plan(shared: &Shared) -> Option<Rc<Configuration>> {
     let control = shared.control.borrow();
     control.configuration.clone().filter(|_| control.poison_loaded)
 }
@@ -273,7 +273,7 @@
     let Some(id) = id.map(str::to_owned) else {
         return refuse(shared, Kind::Malformed);
     };
-    if route.repeat == Repeat::Batch {
+    if route.kind == RouteKind::Batch {
         return submit(shared, &caller, &id, &host, head.uri.path(), &body).await;
     }
     let timeout_ms = if route.timeout_ms == 0 { DEADLINE_MS } else { route.timeout_ms };
@@ -296,7 +296,7 @@
 
 async fn forwarded(
     shared: &Rc<Shared>,
-    plan: &Plan,
+    plan: &Configuration,
     route: &Route,
     plain: &PlainRequest,
 ) -> HttpResponse {
--- a/crates/hollywell/src/entry/member.rs
+++ b/crates/hollywell/src/entry/member.rs
@@ -164,7 +164,7 @@
 async fn wait_for_next_read(shared: &Shared) {
     let is_unsettled = {
         let control = shared.control.borrow();
-        control.roster.is_unsettled() || !control.census.is_settled()
+        control.roster.is_unsettled() || !control.group_size.is_settled()
     };
     // A reading lists every partition, and all readers share the store.
     let crowd = (feed::readers(shared) as f64 / READERS_AT_FULL_RATE).max(1.0);
@@ -180,9 +180,9 @@
 fn record_census(shared: &Shared, listing: &Listing) {
     let is_full = {
         let control = &mut *shared.control.borrow_mut();
-        control.census.read(listing.members.len(), listing.partitions);
-        let is_full = control.census.is_full();
-        control.roster.is_of_full_group(is_full);
+        control.group_size.read(listing.members.len(), listing.partitions);
+        let is_full = control.group_size.is_full();
+        control.roster.set_group_full(is_full);
         is_full
     };
     if is_full && !shared.membership.full_logged.replace(true) {
@@ -194,7 +194,7 @@
 /// Takes the members from an instance that reads them for others; returns
 /// whether that went well.
 async fn read_from_source(shared: &Rc<Shared>) -> bool {
-    if !shared.control.borrow().census.is_settled() {
+    if !shared.control.borrow().group_size.is_settled() {
         return false;
     }
     for source in feed::sources(shared) {
@@ -203,7 +203,7 @@
             Ok(list) => {
                 let known = {
                     let control = &mut *shared.control.borrow_mut();
-                    control.roster.is_of_full_group(list.full);
+                    control.roster.set_group_full(list.full);
                     control.roster.members().to_vec()
                 };
                 let members = if list.members.is_empty() { known } else { list.members };
@@ -251,7 +251,7 @@
         };
         let (members, full) = {
             let control = shared.control.borrow();
-            (control.roster.members().to_vec(), control.census.is_full())
+            (control.roster.members().to_vec(), control.group_size.is_full())
         };
         let (mark, age_ms) = (fingerprint(&members), shared.now().since(read_at));
         if mark != known {
@@ -282,7 +282,7 @@
     let (before, changed) = {
         let control = &mut *shared.control.borrow_mut();
         let before = control.roster.members().to_vec();
-        let changed = control.roster.read(now, read, control.fleet.store_back_at);
+        let changed = control.roster.read(now, read, control.fleet.store_recovered_at);
         (before, changed.then(|| control.roster.members().to_vec()))
     };
     shared.membership.read_at.set(Some(requested_at));
--- a/crates/hollywell/src/entry/samples.rs
+++ b/crates/hollywell/src/entry/samples.rs
@@ -10,8 +10,8 @@
 use crate::{
     core::{
         batch::{self, Brief, Bundle, Sample, Submission, TextRef},
+        capacity::Purpose,
         dispatch::Slot,
-        room::Use,
     },
     entry::{
         shared::{Shared, TEXTS},
@@ -61,7 +61,7 @@
     let control = &mut *shared.control.borrow_mut();
     // A job that was ended meanwhile is not remembered.
     let open = control.partitions[part].index.jobs.get(&slot.job).is_some_and(|job| !job.ended)
-        && !control.ending.holds(&slot.job);
+        && !control.ending.is_pending(&slot.job);
     if open {
         control.bundles.insert((slot.job.clone(), bundle), decoded.clone());
     }
@@ -113,7 +113,7 @@
         return Ok(());
     }
     let part = Partition::new(TEXTS, number);
-    let purpose = Use::Requests;
+    let purpose = Purpose::Requests;
     let append = Append { part, records: records.clone(), expected_end: None, purpose };
     let mut tries = 1;
     let first = loop {
--- a/crates/hollywell/src/entry/store.rs
+++ b/crates/hollywell/src/entry/store.rs
@@ -10,8 +10,8 @@
 
 use crate::core::{
     batch::Record,
+    capacity::{LIVE_OVERHEAD, LOG_OVERHEAD, Purpose},
     group::Listing,
-    room::{LIVE_OVERHEAD, LOG_OVERHEAD, Use},
 };
 
 /// A future that stays on its thread.
@@ -120,7 +120,7 @@
     /// Append only if the partition ends here.
     pub expected_end: Option<u64>,
     /// What it is for.
-    pub purpose: Use,
+    pub purpose: Purpose,
 }
 
 impl Append {
--- a/crates/hollywell/src/entry/suspects.rs
+++ b/crates/hollywell/src/entry/suspects.rs
@@ -12,10 +12,10 @@
 
 use crate::{
     core::{
+        capacity::Purpose,
         dispatch,
         fleet::Announcement,
         poison::{self, Digest, Verdict},
-        room::Use,
         time::Time,
     },
     entry::{
@@ -127,34 +127,34 @@
 pub fn probe_target(shared: &Shared, pool: &str, digest: Digest) -> ProbeTarget {
     let (now, control) = (shared.now(), shared.control.borrow());
     let since_ms = control.poison.since_end_ms(unix_ms(), digest).unwrap_or(u64::MAX);
-    let id = poison::trial(&healthy(&control, now, pool), since_ms);
+    let id = poison::probe_target(&healthy(&control, now, pool), since_ms);
     match id.and_then(|id| control.fleet.targets.get(id)) {
-        Some(target) => ProbeTarget::At(Box::new(target.said.clone())),
+        Some(target) => ProbeTarget::At(Box::new(target.announcement.clone())),
         None => ProbeTarget::Nowhere,
     }
 }
 
 /// A pool's targets at which no exchange broke a moment ago.
 fn healthy<'a>(control: &'a Control, now: Time, pool: &'a str) -> Vec<&'a str> {
-    let all = control.fleet.usable(pool).map(|target| target.said.id.as_str());
-    all.filter(|id| !control.observations.is_broken(now, id)).collect()
+    let all = control.fleet.usable(pool).map(|target| target.announcement.id.as_str());
+    all.filter(|id| !control.observations.has_failed_recently(now, id)).collect()
 }
 
 /// Whether a suspect's last end is so long ago that it is alone where it is
 /// tried.
 pub fn is_settled(shared: &Shared, digest: Digest) -> bool {
     let since_ms = shared.control.borrow().poison.since_end_ms(unix_ms(), digest);
-    since_ms.is_none_or(|since_ms| since_ms >= poison::SETTLE_MS)
+    since_ms.is_none_or(|since_ms| since_ms >= poison::PROBE_DELAY_MS)
 }
 
 /// The target of a pool that is kept free for suspects, while any may be
 /// tried soon.
 pub fn reserved_target(shared: &Shared, pool: &str) -> Option<String> {
     let (now, control) = (shared.now(), shared.control.borrow());
-    if !control.poison.is_trying(unix_ms()) {
+    if !control.poison.has_pending_probe(unix_ms()) {
         return None;
     }
-    poison::trial(&healthy(&control, now, pool), 0).map(str::to_owned)
+    poison::probe_target(&healthy(&control, now, pool), 0).map(str::to_owned)
 }
 
 /// The turn to try a suspect at a pool, which one of all instances has at a
@@ -250,12 +250,12 @@
     if !shared.pool.has_exited(target.address).await {
         return false;
     }
-    let life = target.life();
+    let life = target.incarnation();
     let (is_new, verdict) = {
         let mut control = shared.control.borrow_mut();
         let is_new = match is_alone {
-            true => control.poison.ended_alone(unix_ms(), digest, &life),
-            false => control.poison.ended(unix_ms(), digest, &life),
+            true => control.poison.record_isolated_end(unix_ms(), digest, &life),
+            false => control.poison.record_target_end(unix_ms(), digest, &life),
         };
         (is_new, control.poison.verdict(unix_ms(), digest))
     };
@@ -275,7 +275,7 @@
             return;
         }
         let digest = digest();
-        control.poison.served(digest).then_some(digest)
+        control.poison.record_answer(digest).then_some(digest)
     };
     if let Some(digest) = known {
         log::info!("{digest} was served: nothing is held against it");
@@ -333,7 +333,7 @@
 async fn append(shared: &Shared, records: &[SuspectRecord]) -> Result<(), StoreError> {
     let record = |records: &SuspectRecord| (Some(records.digest.clone()), records.record.clone());
     let records = records.iter().map(record).collect();
-    let (part, purpose) = (Partition::new(TOPIC, 0), Use::Suspect);
+    let (part, purpose) = (Partition::new(TOPIC, 0), Purpose::Suspect);
     shared.append(Append { part, records, expected_end: None, purpose }).await.map(|_| ())
 }
 
@@ -366,7 +366,7 @@
     let mut control = shared.control.borrow_mut();
     let taken = key.parse::<Digest>().and_then(|digest| {
         if record.is_empty() {
-            control.poison.served(digest);
+            control.poison.record_answer(digest);
             return Ok(());
         }
         control.poison.read(unix_ms(), digest, record)
