--- a/crates/hollywell/src/entry/configuration.rs
+++ b/crates/hollywell/src/entry/configuration.rs
@@ -187,7 +187,8 @@
     let version = control.configuration.as_ref().map_or(0, |plan| plan.version);
     let plan = control.configuration.as_deref().filter(|plan| plan.version > have).cloned();
     let evacuated = Some(control.fleet.evacuated().clone());
-    let message = Message { age_ms, version, plan, named: control.models.newest.clone(), evacuated };
+    let message =
+        Message { age_ms, version, plan, named: control.models.newest.clone(), evacuated };
     match serde_json::to_vec(&message) {
         Ok(bytes) => Response::new(Full::new(bytes.into())),
         Err(error) => {
--- a/crates/hollywell/src/entry/feed.rs
+++ b/crates/hollywell/src/entry/feed.rs
@@ -238,8 +238,11 @@
 /// the store itself.
 pub(super) fn sources(shared: &Shared) -> Vec<String> {
     let control = shared.control.borrow();
-    let all =
-        relay::sources(control.roster.members(), &shared.instance_id, is_overloaded(shared, &control));
+    let all = relay::sources(
+        control.roster.members(),
+        &shared.instance_id,
+        is_overloaded(shared, &control),
+    );
     all.into_iter().map(str::to_owned).collect()
 }
 
--- a/crates/hollywell/src/entry/forward.rs
+++ b/crates/hollywell/src/entry/forward.rs
@@ -321,7 +321,12 @@
     let usable = || control.fleet.usable(pool).map(|target| target.announcement.id.as_str());
     let answers = usable().filter_map(|id| control.observations.get(id)?.answer_ms);
     let usual_ms = answers.min_by(f64::total_cmp).map(|ms| ms as u64);
-    admission::Situation { known: control.fleet_loaded, usable: usable().count(), usual_ms, left_ms }
+    admission::Situation {
+        known: control.fleet_loaded,
+        usable: usable().count(),
+        usual_ms,
+        left_ms,
+    }
 }
 
 fn patience(route: &Route) -> u64 {
--- a/crates/hollywell/src/entry/orders.rs
+++ b/crates/hollywell/src/entry/orders.rs
@@ -87,7 +87,11 @@
     }
     {
         let control = shared.control.borrow();
-        issuer.lease.set_wanted(weight_loading::has_due_load(domain, &control.models, &control.fleet));
+        issuer.lease.set_wanted(weight_loading::has_due_load(
+            domain,
+            &control.models,
+            &control.fleet,
+        ));
     }
     // Orders may be given only if a call started now ends within the lease.
     if issuer.lease.fencing_token(shared, CALL_TIMEOUT).is_none() {
@@ -176,7 +180,8 @@
 fn apply_report(shared: &Shared, order: &Order, report: &crate::entry::codec::Report) {
     let control = &mut *shared.control.borrow_mut();
     if control.fleet.record_start(&order.target, report.born)
-        && let Some(address) = control.fleet.targets.get(&order.target).map(|t| t.announcement.address)
+        && let Some(address) =
+            control.fleet.targets.get(&order.target).map(|t| t.announcement.address)
     {
         shared.reset_target(control, &order.target, address);
     }
