--- a/crates/hollywell/src/core/batch/mod.rs
+++ b/crates/hollywell/src/core/batch/mod.rs
@@ -9,22 +9,22 @@
 //! costs a call at each change of owner and an owner's results would be lost
 //! with its epoch.)
 //!
-//! This module spells the records; `book` folds them, `spare` says which of
+//! This module spells the records; `index` folds them, `garbage` says which of
 //! them nothing needs any more.
 //!
 //! What it leaves out: who runs what ([`crate::core::dispatch`]) and the
 //! store itself.
 
-mod book;
-mod spare;
+mod garbage;
+mod index;
 
 use std::collections::HashMap;
 
 use bytes::Bytes;
 use prost::Message as _;
 
-pub use book::{Book, Change, Job, Listed, Skip, Written};
-pub use spare::{Keys, Spare, Terms};
+pub use garbage::{Keys, Spare, Terms};
+pub use index::{Book, Change, Job, Listed, Skip, Written};
 
 /// A request that scores a finished sample.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
--- a/crates/hollywell/src/core/mod.rs
+++ b/crates/hollywell/src/core/mod.rs
@@ -21,7 +21,7 @@
 //! | [`hold`] | whether a request that no target can take is held or rejected |
 //! | [`group`] | whether a reading of a group shows all its members |
 //! | [`poison`] | which requests end the targets that run them |
-//! | [`turn`] | what one party of all does at a time |
+//! | [`permit`] | what one party of all does at a time |
 //! | [`room`] | what the store's room is left for, and how far a log is trimmed |
 //!
 //! What it leaves out: bodies, sockets and threads, which are in
@@ -44,7 +44,7 @@
 pub mod organisation;
 pub mod owner;
 pub mod pace;
-pub mod patience;
+pub mod permit;
 pub mod plan;
 pub mod poison;
 pub mod reducer;
@@ -55,9 +55,9 @@
 pub mod room;
 pub mod roster;
 pub mod route;
+pub mod store_lease;
 pub mod stream;
 pub mod table;
-pub mod tenure;
 pub mod time;
-pub mod turn;
+pub mod timeout;
 pub mod usage;
--- a/crates/hollywell/src/core/turn.rs
+++ b/crates/hollywell/src/core/permit.rs
@@ -22,7 +22,7 @@
 /// # Example
 ///
 /// ```
-/// use hollywell::core::{time::Time, turn::{TURN_MS, Turns}};
+/// use hollywell::core::{time::Time, permit::{TURN_MS, Turns}};
 ///
 /// let mut turns = Turns::default();
 /// assert!(turns.take(Time(0), "board-app", "a.1"));
--- a/crates/hollywell/src/core/roll.rs
+++ b/crates/hollywell/src/core/roll.rs
@@ -17,7 +17,7 @@
 //! Level-triggered: what is wanted is compared with what the engines report,
 //! again and again, so a lost, doubled or late order ends in the right state.
 //!
-//! What it leaves out: the lease ([`crate::core::tenure`]) and the calls.
+//! What it leaves out: the lease ([`crate::core::store_lease`]) and the calls.
 
 use std::{
     cmp::Reverse,
--- a/crates/hollywell/src/core/patience.rs
+++ b/crates/hollywell/src/core/timeout.rs
@@ -42,7 +42,7 @@
 /// # Example
 ///
 /// ```
-/// use hollywell::core::patience::Patience;
+/// use hollywell::core::timeout::Patience;
 ///
 /// let mut patience = Patience::default();
 /// patience.answered(5);
--- a/crates/hollywell/src/core/usage.rs
+++ b/crates/hollywell/src/core/usage.rs
@@ -12,7 +12,7 @@
 //! it is sent, at the moment of that send. What a target says it did not run
 //! does not count; scoring requests and samples never do.
 //!
-//! What it leaves out: who holds the duty ([`crate::core::tenure`]) and the
+//! What it leaves out: who holds the duty ([`crate::core::store_lease`]) and the
 //! calls ([`crate::entry::duties`]).
 
 use std::{
--- a/crates/hollywell/src/entry/lease.rs
+++ b/crates/hollywell/src/entry/lease.rs
@@ -1,5 +1,5 @@
 //! A lease on something that one instance does at a time, kept up on a
-//! partition of its own. [`crate::core::tenure`] decides; this makes the calls.
+//! partition of its own. [`crate::core::store_lease`] decides; this makes the calls.
 
 use std::{
     cell::{Cell, RefCell},
@@ -13,7 +13,7 @@
 use crate::{
     core::{
         room::Use,
-        tenure::{Claim, Tenure, Terms},
+        store_lease::{Claim, Tenure, Terms},
     },
     entry::{
         shared::Shared,
--- a/crates/hollywell/src/entry/reader.rs
+++ b/crates/hollywell/src/entry/reader.rs
@@ -16,7 +16,7 @@
 use crate::{
     core::{
         group::Listing,
-        patience::{self, Patience},
+        timeout::{self, Patience},
     },
     entry::store::{Client, Fault, Limited, Newest, Page, Part, Read, Records},
 };
@@ -112,10 +112,10 @@
     }
 
     /// Pauses after a call that failed, the last of so many in a row: up
-    /// to [`patience::pause_most_ms`], so that instances that failed together
+    /// to [`timeout::pause_most_ms`], so that instances that failed together
     /// do not return together.
     pub async fn pause(&self, failures: u32) {
-        let most = patience::pause_most_ms(failures, self.instances.get(), self.away.get());
+        let most = timeout::pause_most_ms(failures, self.instances.get(), self.away.get());
         sleep(Duration::from_millis(rand::random_range(0..=most))).await;
     }
 
--- a/crates/hollywell/tests/poison.rs
+++ b/crates/hollywell/tests/poison.rs
@@ -11,9 +11,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use hollywell::core::{
+    permit::Turns,
     poison::{Digest, ENOUGH, SETTLE_MS, State, Verdict, trial},
     time::Time,
-    turn::Turns,
 };
 use rand::{Rng as _, SeedableRng as _, rngs::SmallRng};
 
--- a/crates/hollywell/tests/reader.rs
+++ b/crates/hollywell/tests/reader.rs
@@ -10,7 +10,7 @@
 };
 
 use hollywell::{
-    core::patience::{Patience, pause_most_ms},
+    core::timeout::{Patience, pause_most_ms},
     entry::{
         reader::Reader,
         store::{Append, Client, Fault, Join, LocalFuture, Newest, Page, Part, Read, Records},
--- a/crates/hollywell/tests/tenure.rs
+++ b/crates/hollywell/tests/tenure.rs
@@ -5,7 +5,7 @@
 
 use arbtest::arbtest;
 use hollywell::core::{
-    tenure::{Claim, Tenure, Terms},
+    store_lease::{Claim, Tenure, Terms},
     time::Time,
 };
 
