--- a/crates/hollywell/src/core/batch/garbage.rs
+++ b/crates/hollywell/src/core/batch/garbage.rs
@@ -8,14 +8,14 @@
 //! | requests of a group | all its samples are listed, or the job is ended |
 //! | unfinished text, and the note of it | the sample is listed; after the job's end for [`CARRY_MS`] more, as a later step may go on with it |
 //! | a result that came second, and its text | never |
-//! | all else | the job is ended, and was submitted [`Terms::status_ms`] ago |
+//! | all else | the job is ended, and was submitted [`Retention::status_ms`] ago |
 //!
 //! All of it follows from the fold, so any instance can drop; who does is
 //! decided elsewhere. A key that is dropped twice does no harm.
 
 use prost::Message as _;
 
-use super::{CLOCKS_APART_MS, Head, Job, Outcome, end_record, head_record, partial_key};
+use super::{Job, MAX_CLOCK_SKEW_MS, Manifest, Outcome, end_record, manifest_record, partial_key};
 use crate::core::time::Time;
 
 /// How long unfinished texts outlive their job's end, in milliseconds:
@@ -25,7 +25,7 @@
 
 /// What was promised.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Terms {
+pub struct Retention {
     /// Results are kept for so long after the submission, in milliseconds.
     pub status_ms: u64,
 }
@@ -56,24 +56,24 @@
 ///
 /// ```
 /// use hollywell::core::{
-///     batch::{Book, Head, Record, Spare, Terms, end_record, head_record},
+///     batch::{Index, Manifest, Record, Garbage, Retention, end_record, manifest_record},
 ///     time::Time,
 /// };
 ///
-/// let mut book = Book::default();
-/// let records = [head_record("j", &Head::default()), end_record("j")];
+/// let mut book = Index::default();
+/// let records = [manifest_record("j", &Manifest::default()), end_record("j")];
 /// for (offset, (key, value)) in (0..).zip(records) {
 ///     book.apply(&Record { offset, key, value: Some(value) })?;
 /// }
-/// let (job, terms) = (&book.jobs["j"], Terms { status_ms: 120_000 });
-/// let spare = Spare::new(Time(0));
+/// let (job, terms) = (&book.jobs["j"], Retention { status_ms: 120_000 });
+/// let spare = Garbage::new(Time(0));
 /// assert!(!spare.is_over(job, Time(119_000), 119_000, terms));
 /// // By this instance's own clock, whatever the time of day is said to be.
 /// assert!(spare.is_over(job, Time(120_001), 0, terms));
 /// # Ok::<(), hollywell::core::batch::Skip>(())
 /// ```
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Spare {
+pub struct Garbage {
     /// When the job was first seen here.
     since: Time,
     /// When its end was first seen here.
@@ -86,11 +86,11 @@
     seconds: usize,
 }
 
-impl Spare {
+impl Garbage {
     /// Of a job that is first seen now.
     #[must_use]
-    pub fn new(now: Time) -> Spare {
-        Spare { since: now, ..Spare::default() }
+    pub fn new(now: Time) -> Garbage {
+        Garbage { since: now, ..Garbage::default() }
     }
 
     /// Notes what is to be seen of a job now.
@@ -104,9 +104,9 @@
     /// day; whoever saw the job's submission needs none, and others allow for
     /// clocks that are apart.
     #[must_use]
-    pub fn is_over(&self, job: &Job, now: Time, wall_ms: u64, terms: Terms) -> bool {
-        let told_ms = wall_ms.saturating_sub(job.head.at_ms);
-        let by_clock = told_ms > terms.status_ms.saturating_add(CLOCKS_APART_MS);
+    pub fn is_over(&self, job: &Job, now: Time, wall_ms: u64, terms: Retention) -> bool {
+        let told_ms = wall_ms.saturating_sub(job.manifest.at_ms);
+        let by_clock = told_ms > terms.status_ms.saturating_add(MAX_CLOCK_SKEW_MS);
         let by_sight = now.since(self.since) > terms.status_ms;
         job.ended && (by_clock || by_sight)
     }
@@ -114,7 +114,7 @@
     /// Keys of a job that nothing needs and that were not dropped yet, and
     /// what is known once they are.
     #[must_use]
-    pub fn next(&self, id: &str, job: &Job, now: Time) -> (Keys, Spare) {
+    pub fn next(&self, id: &str, job: &Job, now: Time) -> (Keys, Garbage) {
         let (mut keys, mut after) = (Keys::default(), self.clone());
         after.take_requests(job, &mut keys);
         self.take_unfinished(id, job, now, &mut keys);
@@ -131,9 +131,9 @@
             self.head = job.offset;
             self.requests.clear();
         }
-        self.requests.resize(job.head.bundles.len(), false);
+        self.requests.resize(job.manifest.bundles.len(), false);
         let needed = job.needed_bundles();
-        for (at, bundle) in job.head.bundles.iter().enumerate() {
+        for (at, bundle) in job.manifest.bundles.iter().enumerate() {
             if !needed[at] && !std::mem::replace(&mut self.requests[at], true) {
                 keys.texts.push(bundle.key.clone());
             }
@@ -144,7 +144,7 @@
     fn take_unfinished(&self, id: &str, job: &Job, now: Time, keys: &mut Keys) {
         let old = self.ended_at.is_some_and(|at| now.since(at) > CARRY_MS);
         for (at, pieces) in job.pieces.iter().filter(|(at, _)| old || job.done[**at]) {
-            keys.jobs.push(partial_key(id, &job.head.samples[*at].id));
+            keys.jobs.push(partial_key(id, &job.manifest.samples[*at].id));
             keys.texts.extend(pieces.iter().cloned());
         }
     }
@@ -156,12 +156,12 @@
     #[must_use]
     pub fn keys(&self, id: &str) -> Keys {
         let mut keys = Keys::default();
-        keys.texts.extend(self.head.bundles.iter().map(|bundle| bundle.key.clone()));
+        keys.texts.extend(self.manifest.bundles.iter().map(|bundle| bundle.key.clone()));
         for (at, pieces) in &self.pieces {
-            keys.jobs.push(partial_key(id, &self.head.samples[*at].id));
+            keys.jobs.push(partial_key(id, &self.manifest.samples[*at].id));
             keys.texts.extend(pieces.iter().cloned());
         }
-        for listed in &self.listed {
+        for listed in &self.results {
             keys.jobs.push(listed.key.clone());
             let outcome = Outcome::decode(listed.value.clone()).ok();
             keys.texts.extend(outcome.and_then(|outcome| outcome.text).map(|text| text.key));
@@ -170,7 +170,7 @@
             keys.jobs.push(key.clone());
             keys.texts.extend(text.clone());
         }
-        keys.heads.push([end_record(id).0, head_record(id, &Head::default()).0]);
+        keys.heads.push([end_record(id).0, manifest_record(id, &Manifest::default()).0]);
         keys
     }
 }
--- a/crates/hollywell/src/core/batch/index.rs
+++ b/crates/hollywell/src/core/batch/index.rs
@@ -9,12 +9,14 @@
 use bytes::Bytes;
 use prost::Message as _;
 
-use super::{Head, Outcome, Partial, Record, SEPARATOR, TextRef, head_record, partial_texts};
+use super::{
+    Manifest, Outcome, Partial, Record, SEPARATOR, TextRef, manifest_record, partial_texts,
+};
 use crate::core::room::{LIVE_OVERHEAD, LOG_OVERHEAD};
 
 /// One result at its position.
 #[derive(Clone, Debug)]
-pub struct Listed {
+pub struct ResultRecord {
     /// Offset of its record.
     pub offset: u64,
     /// The record's key.
@@ -27,13 +29,13 @@
 #[derive(Debug)]
 pub struct Job {
     /// Its head.
-    pub head: Rc<Head>,
+    pub manifest: Rc<Manifest>,
     /// Position of each sample in the submission, by id.
     pub index: HashMap<String, usize>,
     /// Which samples are listed.
     pub done: Vec<bool>,
     /// Results in their order.
-    pub listed: Vec<Listed>,
+    pub results: Vec<ResultRecord>,
     /// How many samples of each group are not listed.
     unlisted: HashMap<String, usize>,
     /// How many results there were each time that a group became whole.
@@ -62,13 +64,13 @@
     /// A job can be run.
     Opened(String),
     /// A sample of a job is listed.
-    Listed(String, usize),
+    ResultStored(String, usize),
     /// More of a sample's text is kept than before.
-    Grown(String, usize),
+    PartialStored(String, usize),
     /// A job was ended.
     Ended(String),
     /// A job's records were dropped.
-    Dropped(String),
+    Deleted(String),
     /// A record that came before its job's submission makes no sense.
     Skipped(Skip),
 }
@@ -90,7 +92,7 @@
 
 /// All jobs of one partition.
 #[derive(Default)]
-pub struct Book {
+pub struct Index {
     /// By id.
     pub jobs: HashMap<String, Job>,
     /// Results, texts and ends that were read before their job.
@@ -118,13 +120,13 @@
     }
 }
 
-impl fmt::Debug for Book {
+impl fmt::Debug for Index {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.debug_struct("Book").field("jobs", &self.jobs.len()).finish_non_exhaustive()
+        f.debug_struct("Index").field("jobs", &self.jobs.len()).finish_non_exhaustive()
     }
 }
 
-impl Book {
+impl Index {
     /// Folds a record. Records must come in the order of their offsets; a
     /// head may come again.
     ///
@@ -144,7 +146,7 @@
             if kind == "s" {
                 self.waiting.remove(job);
                 let known = self.jobs.remove(job).is_some();
-                return Ok(if known { vec![Change::Dropped(job.to_owned())] } else { vec![] });
+                return Ok(if known { vec![Change::Deleted(job.to_owned())] } else { vec![] });
             }
             if kind == "p" {
                 self.no_partial(job, parts.next().unwrap_or_default());
@@ -185,9 +187,9 @@
                 entry.live += (record.key.len() + value_len) as u64 + LIVE_OVERHEAD;
                 entry.texts += outcome.text.map_or(0, |text| text.stored(LIVE_OVERHEAD));
                 let (offset, key) = (record.offset, record.key.clone());
-                entry.listed.push(Listed { offset, key, value: value.clone() });
+                entry.results.push(ResultRecord { offset, key, value: value.clone() });
                 entry.count(index);
-                Ok(vec![Change::Listed(job.to_owned(), index)])
+                Ok(vec![Change::ResultStored(job.to_owned(), index)])
             }
             "p" => {
                 let sample = parts.next().unwrap_or_default();
@@ -204,7 +206,7 @@
                     return Ok(vec![]);
                 }
                 entry.partials.insert(index, partial);
-                Ok(vec![Change::Grown(job.to_owned(), index)])
+                Ok(vec![Change::PartialStored(job.to_owned(), index)])
             }
             _ => Err(skip("unknown kind of record")),
         }
@@ -225,7 +227,7 @@
     /// `end`; their ids.
     pub fn retain(&mut self, end: u64, there: impl Fn(&str) -> bool) -> Vec<String> {
         let gone = |id: &&String, job: &Job| {
-            let (key, _) = head_record(id, &Head::default());
+            let (key, _) = manifest_record(id, &Manifest::default());
             job.offset < end && !there(&key)
         };
         let gone: Vec<String> =
@@ -237,7 +239,7 @@
     }
 
     fn open(&mut self, job: &str, record: &Record, value: &Bytes) -> Result<Vec<Change>, String> {
-        let mut head = Head::decode(value.clone()).map_err(|error| error.to_string())?;
+        let mut head = Manifest::decode(value.clone()).map_err(|error| error.to_string())?;
         for bundle in &head.bundles {
             self.written.text(bundle);
         }
@@ -245,8 +247,8 @@
             // Two instances took the same submission in. The store keeps the
             // newest head only, so its requests are those that everybody goes
             // by; the job is as old as its first one.
-            head.at_ms = head.at_ms.min(job.head.at_ms);
-            job.head = Rc::new(head);
+            head.at_ms = head.at_ms.min(job.manifest.at_ms);
+            job.manifest = Rc::new(head);
             job.offset = record.offset;
             return Ok(vec![]);
         }
@@ -258,10 +260,10 @@
             *unlisted.entry(sample.group.clone()).or_insert(0) += 1;
         }
         let entry = Job {
-            head: Rc::new(head),
+            manifest: Rc::new(head),
             index,
             done,
-            listed: vec![],
+            results: vec![],
             unlisted,
             whole_at: vec![],
             partials: HashMap::new(),
@@ -289,7 +291,7 @@
     /// dropped.
     #[must_use]
     pub fn bytes(&self) -> u64 {
-        let requests = self.head.bundles.iter().zip(self.needed_bundles());
+        let requests = self.manifest.bundles.iter().zip(self.needed_bundles());
         let requests = requests.filter(|(_, needed)| *needed);
         let requests: u64 = requests.map(|(bundle, _)| bundle.stored(LIVE_OVERHEAD)).sum();
         let unfinished = self.partials.values().flat_map(|partial| &partial.texts);
@@ -301,8 +303,8 @@
     /// run.
     #[must_use]
     pub fn needed_bundles(&self) -> Vec<bool> {
-        let mut needed = vec![false; self.head.bundles.len()];
-        for (sample, done) in self.head.samples.iter().zip(&self.done) {
+        let mut needed = vec![false; self.manifest.bundles.len()];
+        for (sample, done) in self.manifest.samples.iter().zip(&self.done) {
             if let Some(needed) = needed.get_mut(sample.bundle as usize) {
                 *needed |= !done && !self.ended;
             }
@@ -314,7 +316,7 @@
     /// the size of others can be told.
     #[must_use]
     pub fn sizes(&self) -> (u64, u64) {
-        let done = self.head.samples.iter().zip(&self.done).filter(|(_, done)| **done);
+        let done = self.manifest.samples.iter().zip(&self.done).filter(|(_, done)| **done);
         let tokens = done.map(|(sample, _)| u64::from(sample.tokens)).sum();
         (tokens, self.texts)
     }
@@ -325,7 +327,7 @@
         if self.ended {
             return 0;
         }
-        let open = self.head.samples.iter().zip(&self.done).filter(|(_, done)| !**done);
+        let open = self.manifest.samples.iter().zip(&self.done).filter(|(_, done)| !**done);
         open.map(|(sample, _)| u64::from(sample.tokens)).sum()
     }
 
@@ -343,7 +345,7 @@
 
     /// Notes a result that came second; the same record may come again.
     fn second(&mut self, key: &str, outcome: Outcome) {
-        let first = self.listed.iter().any(|listed| listed.key == key);
+        let first = self.results.iter().any(|listed| listed.key == key);
         if first || self.seconds.iter().any(|(other, _)| other == key) {
             return;
         }
@@ -357,14 +359,14 @@
     /// The key of a listed sample's text.
     fn text_of(&self, sample: &str) -> Option<String> {
         let mut outcomes =
-            self.listed.iter().filter_map(|listed| Outcome::decode(listed.value.clone()).ok());
+            self.results.iter().filter_map(|listed| Outcome::decode(listed.value.clone()).ok());
         outcomes.find(|outcome| outcome.id == sample)?.text.map(|text| text.key)
     }
 
     /// Counts a sample that was just listed. One without a group is a group
     /// of its own.
     fn count(&mut self, index: usize) {
-        let group = &self.head.samples[index].group;
+        let group = &self.manifest.samples[index].group;
         let whole = match self.unlisted.get_mut(group) {
             Some(left) if !group.is_empty() => {
                 *left = left.saturating_sub(1);
@@ -373,7 +375,7 @@
             _ => true,
         };
         if whole {
-            self.whole_at.push(self.listed.len());
+            self.whole_at.push(self.results.len());
         }
     }
 
@@ -382,10 +384,10 @@
     /// that the trainer waits for, that were missing before; or they are all
     /// that is to come.
     #[must_use]
-    pub fn is_worth_reading(&self, after: usize) -> bool {
+    pub fn is_worth_answering(&self, after: usize) -> bool {
         let whole = self.whole_at.len();
         let before = self.whole_at.partition_point(|len| *len <= after);
-        let wanted = match usize::try_from(self.head.groups_wanted).unwrap_or(usize::MAX) {
+        let wanted = match usize::try_from(self.manifest.groups_wanted).unwrap_or(usize::MAX) {
             0 => self.unlisted.len(),
             wanted => wanted,
         };
@@ -396,6 +398,6 @@
     /// Whether every sample is listed.
     #[must_use]
     pub fn is_whole(&self) -> bool {
-        self.listed.len() == self.done.len()
+        self.results.len() == self.done.len()
     }
 }
--- a/crates/hollywell/src/core/batch/mod.rs
+++ b/crates/hollywell/src/core/batch/mod.rs
@@ -23,8 +23,8 @@
 use bytes::Bytes;
 use prost::Message as _;
 
-pub use garbage::{Keys, Spare, Terms};
-pub use index::{Book, Change, Job, Listed, Skip, Written};
+pub use garbage::{Garbage, Keys, Retention};
+pub use index::{Change, Index, Job, ResultRecord, Skip, Written};
 
 /// A request that scores a finished sample.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
@@ -183,7 +183,7 @@
 
 /// What every instance keeps of a sample.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
-pub struct Brief {
+pub struct SampleMeta {
     /// Its id.
     #[prost(string, tag = "1")]
     pub id: String,
@@ -206,7 +206,7 @@
 /// the record, 84 instances read each of them 84 times, and the store's
 /// bandwidth was gone.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
-pub struct Head {
+pub struct Manifest {
     /// The host of the route that it came on.
     #[prost(string, tag = "1")]
     pub host: String,
@@ -230,7 +230,7 @@
     pub groups_wanted: u64,
     /// Its samples.
     #[prost(message, repeated, tag = "8")]
-    pub samples: Vec<Brief>,
+    pub samples: Vec<SampleMeta>,
     /// Where the samples' requests lie.
     #[prost(message, repeated, tag = "9")]
     pub bundles: Vec<TextRef>,
@@ -241,7 +241,7 @@
 
 /// How far the times of day of two machines may be apart, in milliseconds:
 /// they differ by little, but may jump by seconds and back.
-pub const CLOCKS_APART_MS: u64 = 10_000;
+pub const MAX_CLOCK_SKEW_MS: u64 = 10_000;
 
 /// How long from now a job's samples must not be given up yet, in
 /// milliseconds, where they are kept for `keep_ms` from its submission. The
@@ -251,22 +251,22 @@
 /// # Example
 ///
 /// ```
-/// use hollywell::core::batch::{CLOCKS_APART_MS, keep_for};
+/// use hollywell::core::batch::{MAX_CLOCK_SKEW_MS, retention_left_ms};
 ///
-/// assert_eq!(keep_for(40_000, 1_000, 31_000), 10_000 + CLOCKS_APART_MS);
+/// assert_eq!(retention_left_ms(40_000, 1_000, 31_000), 10_000 + MAX_CLOCK_SKEW_MS);
 /// // A clock that jumped ahead by less than that gives nothing up early.
-/// assert!(keep_for(40_000, 1_000, 48_000) > 0);
+/// assert!(retention_left_ms(40_000, 1_000, 48_000) > 0);
 /// ```
 #[must_use]
-pub fn keep_for(keep_ms: u64, submitted_ms: u64, now_ms: u64) -> u64 {
+pub fn retention_left_ms(keep_ms: u64, submitted_ms: u64, now_ms: u64) -> u64 {
     let age_ms = now_ms.saturating_sub(submitted_ms);
-    keep_ms.saturating_add(CLOCKS_APART_MS).saturating_sub(age_ms)
+    keep_ms.saturating_add(MAX_CLOCK_SKEW_MS).saturating_sub(age_ms)
 }
 
 /// Cuts a submission into bundles of one group each, smaller than
 /// `most_bytes` where one sample is; the head says where each sample went.
 #[must_use]
-pub fn bundle(submission: &Submission, most_bytes: usize) -> (Vec<Brief>, Vec<Bundle>) {
+pub fn bundle(submission: &Submission, most_bytes: usize) -> (Vec<SampleMeta>, Vec<Bundle>) {
     let mut bundles: Vec<Bundle> = Vec::new();
     let mut open: HashMap<&str, (usize, usize)> = HashMap::new();
     let mut briefs = Vec::new();
@@ -280,7 +280,7 @@
         open.insert(&sample.group, (bundle, used + bytes));
         let at = bundles[bundle].samples.len();
         bundles[bundle].samples.push(sample.clone());
-        briefs.push(Brief {
+        briefs.push(SampleMeta {
             id: sample.id.clone(),
             group: sample.group.clone(),
             tokens: sample.tokens_hint,
@@ -319,13 +319,13 @@
 
 /// What all keys of a job begin with, and nothing else; it sorts before them.
 #[must_use]
-pub fn first_key(job: &str) -> String {
+pub fn key_prefix(job: &str) -> String {
     format!("{job}{SEPARATOR}")
 }
 
 /// The record that makes a submission a job: from then on it is kept.
 #[must_use]
-pub fn head_record(job: &str, head: &Head) -> (String, Bytes) {
+pub fn manifest_record(job: &str, head: &Manifest) -> (String, Bytes) {
     (format!("{job}{SEPARATOR}s"), Bytes::from(head.encode_to_vec()))
 }
 
@@ -373,7 +373,7 @@
     /// Whether its text was kept for a job, not for an earlier one that had
     /// the same sample.
     #[must_use]
-    pub fn is_of(&self, job: &str) -> bool {
+    pub fn belongs_to(&self, job: &str) -> bool {
         let own = partial_texts(job);
         self.texts.iter().all(|text| text.key.starts_with(&own))
     }
--- a/crates/hollywell/src/core/claim.rs
+++ b/crates/hollywell/src/core/claim.rs
@@ -1,7 +1,7 @@
 //! Claims on idempotency keys: whether a keyed request runs, joins a running
 //! one, is answered from memory, or is refused.
 //!
-//! A [`Book`] is what one instance knows about keys. It holds claims of three
+//! A [`Claims`] is what one instance knows about keys. It holds claims of three
 //! origins: made here as owner, copied here as deputy, inherited at a change
 //! of ownership. It leaves out who the owner is (see [`crate::core::owner`])
 //! and the answers' bytes, which stay with the traffic side under the
@@ -79,28 +79,28 @@
 /// # Example
 ///
 /// ```
-/// use hollywell::core::{claim::{Book, Verdict}, id::Request, time::Time};
+/// use hollywell::core::{claim::{Claims, Verdict}, id::Request, time::Time};
 ///
-/// let mut book = Book::default();
-/// assert_eq!(book.judge("k", 7, 4, Request(1)), Verdict::Fresh);
-/// book.claim("k", 7, Time(10), Request(1));
-/// book.refuse("k", 5, Time(20));
+/// let mut claims = Claims::default();
+/// assert_eq!(claims.judge("k", 7, 4, Request(1)), Verdict::Fresh);
+/// claims.claim("k", 7, Time(10), Request(1));
+/// claims.refuse("k", 5, Time(20));
 /// // A send that reached its entry before the refusal was heard of there
 /// // must never run: the caller has been told that the key did not.
-/// assert_eq!(book.judge("k", 7, 4, Request(2)), Verdict::Superseded);
-/// assert_eq!(book.judge("k", 7, 5, Request(3)), Verdict::Fresh);
+/// assert_eq!(claims.judge("k", 7, 4, Request(2)), Verdict::Superseded);
+/// assert_eq!(claims.judge("k", 7, 5, Request(3)), Verdict::Fresh);
 /// ```
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Book {
+pub struct Claims {
     claims: BTreeMap<String, Claim>,
 }
 
-impl Book {
+impl Claims {
     /// Judges a send of `key` whose entry had heard of refusals up to the
     /// number `seen` before the send arrived there.
     ///
     /// A send that joins a running one is added to its waiters; no other
-    /// verdict changes the book.
+    /// verdict changes the claims.
     pub fn judge(&mut self, key: &str, digest: u64, seen: u64, request: Request) -> Verdict {
         let Some(claim) = self.claims.get_mut(key) else {
             return Verdict::Fresh;
--- a/crates/hollywell/src/core/organisation.rs
+++ b/crates/hollywell/src/core/organisation.rs
@@ -45,7 +45,7 @@
 
 /// Why a caller is not known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Stranger {
+pub enum AuthError {
     /// No key was sent.
     NoKey,
     /// What was sent is not one key in the form `Bearer KEY`.
@@ -54,14 +54,14 @@
     Unknown,
 }
 
-impl Stranger {
+impl AuthError {
     /// Its name in logs and metrics.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
         match self {
-            Stranger::NoKey => "no_key",
-            Stranger::Malformed => "malformed_key",
-            Stranger::Unknown => "unknown_key",
+            AuthError::NoKey => "no_key",
+            AuthError::Malformed => "malformed_key",
+            AuthError::Unknown => "unknown_key",
         }
     }
 }
@@ -71,15 +71,15 @@
 /// # Example
 ///
 /// ```
-/// use hollywell::core::organisation::{Directory, Organisation, Stranger};
+/// use hollywell::core::organisation::{Directory, Organisation, AuthError};
 ///
 /// let survey = Organisation { name: "survey".into(), priority: None };
 /// let directory = Directory::new([(survey, vec!["s3cret"])]).unwrap();
 /// let caller = |values: &[&str]| directory.caller(values.iter().map(|v| v.as_bytes()));
 /// assert_eq!(caller(&["Bearer s3cret"]).unwrap().name, "survey");
 /// // Two headers are none, whatever they hold.
-/// assert_eq!(caller(&["Bearer s3cret", "Bearer s3cret"]), Err(Stranger::Malformed));
-/// assert_eq!(caller(&[]), Err(Stranger::NoKey));
+/// assert_eq!(caller(&["Bearer s3cret", "Bearer s3cret"]), Err(AuthError::Malformed));
+/// assert_eq!(caller(&[]), Err(AuthError::NoKey));
 /// ```
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Directory {
@@ -123,12 +123,12 @@
     pub fn caller<'a>(
         &self,
         values: impl IntoIterator<Item = &'a [u8]>,
-    ) -> Result<&Organisation, Stranger> {
+    ) -> Result<&Organisation, AuthError> {
         let mut values = values.into_iter();
-        let value = values.next().ok_or(Stranger::NoKey)?;
-        let key = key(value).filter(|_| values.next().is_none()).ok_or(Stranger::Malformed)?;
-        let at = self.by_key.get(&Digest::of(key)).ok_or(Stranger::Unknown)?;
-        self.organisations.get(*at).ok_or(Stranger::Unknown)
+        let value = values.next().ok_or(AuthError::NoKey)?;
+        let key = key(value).filter(|_| values.next().is_none()).ok_or(AuthError::Malformed)?;
+        let at = self.by_key.get(&Digest::of(key)).ok_or(AuthError::Unknown)?;
+        self.organisations.get(*at).ok_or(AuthError::Unknown)
     }
 }
 
--- a/crates/hollywell/src/core/permit.rs
+++ b/crates/hollywell/src/core/permit.rs
@@ -1,4 +1,4 @@
-//! Turns: something that one party of all does at a time, given out by one of
+//! Permits: something that one party of all does at a time, given out by one of
 //! them.
 //!
 //! Answers the load of many suspects that come together, at every instance:
@@ -15,47 +15,47 @@
 
 /// How long a turn lasts that is not given back, in milliseconds: longer than
 /// one try takes, and than what came of it takes to be known to all.
-pub const TURN_MS: u64 = 1_000;
+pub const PERMIT_MS: u64 = 1_000;
 
-/// Turns that are taken, each by its subject.
+/// Permits that are taken, each by its subject.
 ///
 /// # Example
 ///
 /// ```
-/// use hollywell::core::{time::Time, permit::{TURN_MS, Turns}};
+/// use hollywell::core::{time::Time, permit::{PERMIT_MS, Permits}};
 ///
-/// let mut turns = Turns::default();
-/// assert!(turns.take(Time(0), "board-app", "a.1"));
-/// assert!(!turns.take(Time(10), "board-app", "b.1"));
+/// let mut turns = Permits::default();
+/// assert!(turns.try_acquire(Time(0), "board-app", "a.1"));
+/// assert!(!turns.try_acquire(Time(10), "board-app", "b.1"));
 /// // Another subject has turns of its own.
-/// assert!(turns.take(Time(10), "wadi-gen", "b.1"));
-/// turns.give_back("board-app", "a.1");
-/// assert!(turns.take(Time(20), "board-app", "b.1"));
+/// assert!(turns.try_acquire(Time(10), "wadi-gen", "b.1"));
+/// turns.release("board-app", "a.1");
+/// assert!(turns.try_acquire(Time(20), "board-app", "b.1"));
 /// // What comes late gives nothing back.
-/// turns.give_back("board-app", "a.1");
-/// assert!(!turns.take(Time(30), "board-app", "c.1"));
-/// assert!(turns.take(Time(20 + TURN_MS), "board-app", "c.1"));
+/// turns.release("board-app", "a.1");
+/// assert!(!turns.try_acquire(Time(30), "board-app", "c.1"));
+/// assert!(turns.try_acquire(Time(20 + PERMIT_MS), "board-app", "c.1"));
 /// ```
 #[derive(Clone, Debug, Default)]
-pub struct Turns {
+pub struct Permits {
     taken: BTreeMap<String, (String, Time)>,
 }
 
-impl Turns {
+impl Permits {
     /// Takes the turn on a subject; `who` names this try and no other.
     /// Returns whether it was free.
-    pub fn take(&mut self, now: Time, subject: &str, who: &str) -> bool {
+    pub fn try_acquire(&mut self, now: Time, subject: &str, who: &str) -> bool {
         self.taken.retain(|_, (_, until)| now < *until);
         if self.taken.contains_key(subject) {
             return false;
         }
-        let until = now.after(TURN_MS);
+        let until = now.after(PERMIT_MS);
         self.taken.insert(subject.to_owned(), (who.to_owned(), until));
         true
     }
 
     /// Gives a turn back, if it is still that try's.
-    pub fn give_back(&mut self, subject: &str, who: &str) {
+    pub fn release(&mut self, subject: &str, who: &str) {
         if self.taken.get(subject).is_some_and(|(holder, _)| holder == who) {
             self.taken.remove(subject);
         }
--- a/crates/hollywell/src/core/reducer/keyed.rs
+++ b/crates/hollywell/src/core/reducer/keyed.rs
@@ -152,7 +152,7 @@
             self.refuse(request, Kind::Unverified);
             return;
         }
-        match self.book.judge(&key, call.digest, seen, request) {
+        match self.claims.judge(&key, call.digest, seen, request) {
             Verdict::Fresh => self.claim(request, &key, &call, until),
             Verdict::Joined => {}
             Verdict::Replay(dispatch) => {
@@ -170,7 +170,7 @@
             self.refuse(request, Kind::OutcomeUnknown);
             return;
         }
-        self.book.claim(key, call.digest, self.now, request);
+        self.claims.claim(key, call.digest, self.now, request);
         if let Some(kind) = self.refusal_by_owner(call, until) {
             self.refuse_key(key, kind);
             return;
@@ -205,7 +205,7 @@
         if self.refused_at.len() > MOST_REFUSED_AT {
             self.refused_at.pop_front();
         }
-        for request in self.book.refuse(key, self.refusals, self.now) {
+        for request in self.claims.refuse(key, self.refusals, self.now) {
             self.refuse(request, kind);
         }
     }
@@ -227,7 +227,7 @@
             return;
         }
         let copy = crate::core::claim::Copy { key: key.to_owned(), digest, age_ms: 0 };
-        self.book.keep(&copy, self.now);
+        self.claims.keep(&copy, self.now);
         self.send_to(from, Message::Claimed { epoch, key: key.to_owned() });
     }
 
@@ -250,7 +250,7 @@
     /// Drops a claim that was not dispatched and that this instance may no
     /// longer decide about.
     fn give_up_key(&mut self, key: &str, kind: Kind) {
-        for request in self.book.advance(key, Phase::Uncertain, self.now) {
+        for request in self.claims.advance(key, Phase::Uncertain, self.now) {
             self.refuse(request, kind);
         }
     }
@@ -270,7 +270,7 @@
         let purpose = Purpose::Key { key: key.to_owned(), request, tried };
         let before = deadline.min(self.owner.lease_until());
         let dispatch = self.dispatch(&target, request, purpose, before, deadline);
-        self.book.advance(key, Phase::Running(dispatch), self.now);
+        self.claims.advance(key, Phase::Running(dispatch), self.now);
     }
 
     /// An attempt for a key ended.
@@ -284,13 +284,13 @@
     ) {
         match end {
             End::Answered => {
-                let waiters = self.book.advance(key, Phase::Done(dispatch), self.now);
+                let waiters = self.claims.advance(key, Phase::Done(dispatch), self.now);
                 for request in waiters {
                     self.reply(request, Reply::Stored(dispatch));
                 }
             }
             End::Broken => {
-                for request in self.book.advance(key, Phase::Uncertain, self.now) {
+                for request in self.claims.advance(key, Phase::Uncertain, self.now) {
                     self.refuse(request, Kind::OutcomeUnknown);
                 }
             }
@@ -331,11 +331,11 @@
                 }
                 continue;
             }
-            let digest = self.book.get(&key).map(|claim| claim.digest).unwrap_or_default();
+            let digest = self.claims.get(&key).map(|claim| claim.digest).unwrap_or_default();
             let message = Message::Claim { epoch: asking.epoch, key, digest };
             self.send_to(&asking.deputy, message);
         }
-        for dispatch in self.book.expire(self.now, self.config.ownership.horizon_ms) {
+        for dispatch in self.claims.expire(self.now, self.config.ownership.horizon_ms) {
             self.emit(Effect::Forget { dispatch });
         }
         self.owner.expire(self.now);
@@ -344,7 +344,7 @@
     /// Gives up what was claimed and not dispatched, at a change of the map.
     pub(super) fn abandon_claims(&mut self) {
         self.asking.clear();
-        for (_, waiters) in self.book.abandon() {
+        for (_, waiters) in self.claims.abandon() {
             for request in waiters {
                 self.refuse(request, Kind::Unverified);
             }
--- a/crates/hollywell/src/core/reducer/mod.rs
+++ b/crates/hollywell/src/core/reducer/mod.rs
@@ -12,7 +12,7 @@
 
 use crate::{
     core::{
-        claim::Book,
+        claim::Claims,
         effect::{Counted, Effect, Reply},
         event::{Call, Event, Forward, Message},
         id::{Dispatch, Instance, Request},
@@ -214,7 +214,7 @@
     owner: owner::State,
     desired: (BTreeSet<Instance>, Time),
     proposed_at: Option<Time>,
-    book: Book,
+    claims: Claims,
     refusals: u64,
     refused_at: VecDeque<(Time, u64)>,
     activated_order: u64,
@@ -252,7 +252,7 @@
             owner: owner::State::new(config.me.clone(), config.ownership),
             desired: (BTreeSet::new(), Time(0)),
             proposed_at: None,
-            book: Book::default(),
+            claims: Claims::default(),
             refusals: 0,
             refused_at: VecDeque::new(),
             activated_order: 0,
@@ -408,7 +408,7 @@
     /// Number of keys whose claims are known here.
     #[must_use]
     pub fn claims(&self) -> usize {
-        self.book.len()
+        self.claims.len()
     }
 
     /// The open steps.
--- a/crates/hollywell/src/core/reducer/peers.rs
+++ b/crates/hollywell/src/core/reducer/peers.rs
@@ -148,8 +148,8 @@
         if *to == *self.owner.me() || self.owner.map().members.is_empty() {
             return;
         }
-        let (book, now) = (&self.book, self.now);
-        let handoff = self.owner.handoff(|| book.copies(now), now).clone();
+        let (claims, now) = (&self.claims, self.now);
+        let handoff = self.owner.handoff(|| claims.copies(now), now).clone();
         self.send_to(to, Message::Handoff(handoff));
     }
 
@@ -158,7 +158,7 @@
             return;
         };
         for copy in &copies {
-            self.book.keep(copy, self.now);
+            self.claims.keep(copy, self.now);
         }
         self.refusals += 1;
         self.activated_order = self.refusals;
--- a/crates/hollywell/src/core/room.rs
+++ b/crates/hollywell/src/core/room.rs
@@ -8,7 +8,7 @@
 //! A store whose topics keep the newest record of each key counts a record
 //! twice: in its log, until that is trimmed or expires, and as the newest of
 //! its key, until that is dropped. [`Log`] says how far a log may be trimmed;
-//! which keys may be dropped is said by [`crate::core::batch::Spare`].
+//! which keys may be dropped is said by [`crate::core::batch::Garbage`].
 //!
 //! Nobody is told how full the store is, so [`State`] adds up what is known
 //! from folding the records. It is an estimate, and the store's own refusal
--- a/crates/hollywell/src/core/store_lease.rs
+++ b/crates/hollywell/src/core/store_lease.rs
@@ -61,7 +61,7 @@
 
 /// How long things last.
 #[derive(Clone, Copy, Debug)]
-pub struct Terms {
+pub struct Timing {
     /// How long a claim holds, in milliseconds.
     pub term_ms: u64,
     /// Time that must pass between orders of two holders, in milliseconds.
@@ -70,7 +70,7 @@
 
 /// One instance's view of a lease.
 #[derive(Clone, Debug, Default)]
-pub struct Tenure {
+pub struct StoreLease {
     /// The partition's end, as last read; where to read on.
     pub end: u64,
     known: bool,
@@ -85,7 +85,7 @@
     announced: bool,
 }
 
-impl Tenure {
+impl StoreLease {
     /// Notes a claim read from the partition.
     pub fn read(&mut self, me: &str, now: Time, offset: u64, claim: &Claim) {
         self.end = self.end.max(offset + 1);
@@ -117,7 +117,7 @@
     }
 
     /// When the last order may have been given by another instance.
-    fn others_order(&self, me: &str, terms: Terms) -> Option<Time> {
+    fn others_order(&self, me: &str, terms: Timing) -> Option<Time> {
         if !self.is_own(me) {
             return self.last_order(terms);
         }
@@ -126,7 +126,7 @@
     }
 
     /// When the last order may have been given by another holder.
-    fn last_order(&self, terms: Terms) -> Option<Time> {
+    fn last_order(&self, terms: Timing) -> Option<Time> {
         let (claim, read_at) = self.last.as_ref()?;
         if claim.orders && !claim.released {
             return Some(read_at.after(terms.term_ms));
@@ -142,7 +142,7 @@
         &self,
         me: &str,
         now: Time,
-        terms: Terms,
+        terms: Timing,
         rank: u64,
         orders: bool,
     ) -> Option<Claim> {
@@ -184,7 +184,7 @@
     }
 
     /// Notes that a claim was accepted at `offset`, sent at `sent`.
-    pub fn granted(&mut self, sent: Time, offset: u64, claim: &Claim, terms: Terms) {
+    pub fn granted(&mut self, sent: Time, offset: u64, claim: &Claim, terms: Timing) {
         self.end = self.end.max(offset + 1);
         if claim.renews.is_none() {
             self.others_at = self.others_order(&claim.holder, terms);
--- a/crates/hollywell/src/core/timeout.rs
+++ b/crates/hollywell/src/core/timeout.rs
@@ -42,28 +42,28 @@
 /// # Example
 ///
 /// ```
-/// use hollywell::core::timeout::Patience;
+/// use hollywell::core::timeout::Timeout;
 ///
-/// let mut patience = Patience::default();
-/// patience.answered(5);
-/// assert_eq!(patience.limit_ms(), 800);
+/// let mut timeout = Timeout::default();
+/// timeout.answered(5);
+/// assert_eq!(timeout.limit_ms(), 800);
 /// // One silence may be a dead connection; several in a row are a busy
 /// // store. Calls that were silent together count once.
-/// patience.silent(800);
-/// patience.silent(800);
-/// assert_eq!(patience.limit_ms(), 1_600);
+/// timeout.timed_out(800);
+/// timeout.timed_out(800);
+/// assert_eq!(timeout.limit_ms(), 1_600);
 /// // Answers that take long are waited for from then on.
-/// patience.answered(1_500);
-/// assert!(patience.limit_ms() > 1_500);
+/// timeout.answered(1_500);
+/// assert!(timeout.limit_ms() > 1_500);
 /// ```
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Patience {
+pub struct Timeout {
     mean_ms: Option<f64>,
     spread_ms: f64,
     silences: u32,
 }
 
-impl Patience {
+impl Timeout {
     /// How long an answer may be silent now, in milliseconds.
     #[must_use]
     pub fn limit_ms(&self) -> u64 {
@@ -90,7 +90,7 @@
     /// that were under way together are one silence. With each of them
     /// counted a cut of some seconds left the limit at its most, and reads
     /// that the cut had swallowed hung for six seconds after it.
-    pub fn silent(&mut self, limit_ms: u64) {
+    pub fn timed_out(&mut self, limit_ms: u64) {
         if limit_ms >= self.limit_ms() {
             self.silences += 1;
         }
@@ -98,7 +98,7 @@
 
     /// Notes that the store answers nobody here: silence is then an outage's,
     /// no crowd's, and its end should be noticed soon.
-    pub fn away(&mut self) {
+    pub fn unavailable(&mut self) {
         self.silences = 0;
     }
 }
@@ -108,7 +108,7 @@
 /// short. One that answers some calls and not others is crowded, and the
 /// crowd is as large as the number of `instances`.
 #[must_use]
-pub fn pause_most_ms(failures: u32, instances: usize, away: bool) -> u64 {
+pub fn max_backoff_ms(failures: u32, instances: usize, away: bool) -> u64 {
     let crowd = if away { 1 } else { instances.div_ceil(CROWD).max(1) as u64 };
     let doubled = PAUSE_MS << failures.saturating_sub(1).min(8);
     doubled.min(PAUSE_MOST_MS * crowd)
--- a/crates/hollywell/src/core/usage.rs
+++ b/crates/hollywell/src/core/usage.rs
@@ -160,14 +160,14 @@
 
 /// Times that the platform demands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Terms {
+pub struct Schedule {
     /// Length of a window, in milliseconds.
     pub window_ms: u64,
     /// A report is due so long after its window's end, in milliseconds.
     pub late_ms: u64,
 }
 
-impl Terms {
+impl Schedule {
     /// The window of an instant, in milliseconds since 1970.
     #[must_use]
     pub fn window(&self, at_ms: u64) -> u64 {
@@ -258,16 +258,16 @@
     /// # Example
     ///
     /// ```
-    /// use hollywell::core::usage::{Ledger, Next, Terms};
+    /// use hollywell::core::usage::{Ledger, Next, Schedule};
     ///
-    /// let terms = Terms { window_ms: 5_000, late_ms: 10_000 };
+    /// let terms = Schedule { window_ms: 5_000, late_ms: 10_000 };
     /// let ledger = Ledger::default();
     /// assert_eq!(ledger.next(54_999, terms, 10), Next::Wait(59_500));
     /// // A window in which nothing began is reported too.
     /// assert!(matches!(ledger.next(59_500, terms, 10), Next::Decide(10, _)));
     /// ```
     #[must_use]
-    pub fn next(&self, now_ms: u64, terms: Terms, from: u64) -> Next {
+    pub fn next(&self, now_ms: u64, terms: Schedule, from: u64) -> Next {
         let open = self.decided.iter().find(|(window, _)| Some(**window) > self.reported);
         if let Some((window, report)) = open {
             return Next::Report(*window, report.clone());
--- a/crates/hollywell/src/entry/caller.rs
+++ b/crates/hollywell/src/entry/caller.rs
@@ -14,7 +14,7 @@
 
 use crate::{
     core::{
-        organisation::{Directory, Organisation, Stranger},
+        organisation::{AuthError, Directory, Organisation},
         plan::{Plan, Route},
     },
     entry::{plans, shared::Shared},
@@ -66,7 +66,7 @@
     headers: &HeaderMap,
 ) -> Result<&'a Organisation, Kind> {
     let values = headers.get_all(header::AUTHORIZATION);
-    directory.caller(values.iter().map(http::HeaderValue::as_bytes)).map_err(|why: Stranger| {
+    directory.caller(values.iter().map(http::HeaderValue::as_bytes)).map_err(|why: AuthError| {
         shared.meters.strangers.with_label_values(&[why.as_str()]).inc();
         log::info!("a caller is not known: {}", why.as_str());
         Kind::UnknownCaller
--- a/crates/hollywell/src/entry/carry.rs
+++ b/crates/hollywell/src/entry/carry.rs
@@ -5,7 +5,7 @@
 
 use crate::{
     core::{
-        batch::{Head, Partial},
+        batch::{Manifest, Partial},
         dispatch::Item,
     },
     entry::shared::Shelf,
@@ -17,7 +17,7 @@
 
 /// The samples of a job that is opened, as they are run. Unfinished texts of
 /// earlier steps are handed to the job; old ones are dropped.
-pub fn items(shelves: &mut [Shelf], part: usize, job: &str, head: &Head) -> Vec<Item> {
+pub fn items(shelves: &mut [Shelf], part: usize, job: &str, head: &Manifest) -> Vec<Item> {
     forget(shelves, head);
     let mut items = Vec::new();
     for (at, sample) in head.samples.iter().enumerate() {
@@ -48,10 +48,10 @@
     found
 }
 
-fn forget(shelves: &mut [Shelf], head: &Head) {
+fn forget(shelves: &mut [Shelf], head: &Manifest) {
     let jobs = shelves.iter_mut().flat_map(|shelf| shelf.book.jobs.values_mut());
     for job in jobs {
-        let old = job.head.model == head.model && job.head.step + STEPS < head.step;
+        let old = job.manifest.model == head.model && job.manifest.step + STEPS < head.step;
         if old {
             job.partials.clear();
         }
--- a/crates/hollywell/src/entry/clean.rs
+++ b/crates/hollywell/src/entry/clean.rs
@@ -1,6 +1,6 @@
 //! Drops records that nothing needs any more. Keyed records are kept for good
 //! by the store, and its room is small; what may be dropped is decided in
-//! [`crate::core::batch::Spare`].
+//! [`crate::core::batch::Garbage`].
 //!
 //! Each job's records are dropped by one instance, the one that its id hashes
 //! to. An instance that takes over drops some again, which does no harm.
@@ -12,7 +12,7 @@
 
 use crate::{
     core::{
-        batch::{self, Book, Keys, Spare, Terms},
+        batch::{self, Garbage, Index, Keys, Retention},
         dispatch::owner,
         room::Use,
         time::Time,
@@ -101,14 +101,14 @@
 struct Due {
     keys: Keys,
     /// What is known of jobs once it is dropped.
-    after: Vec<(String, Spare)>,
+    after: Vec<(String, Garbage)>,
     over: Vec<String>,
     orphans: Vec<String>,
 }
 
 /// Drops this instance's share of what is not needed until it stops.
 pub async fn serve(shared: Rc<Shared>) {
-    let mut spares: HashMap<String, Spare> = HashMap::new();
+    let mut spares: HashMap<String, Garbage> = HashMap::new();
     loop {
         sleep(LOOK).await;
         look(&shared, &mut spares);
@@ -126,20 +126,20 @@
 }
 
 /// Takes over what is to be seen of the jobs.
-fn look(shared: &Shared, spares: &mut HashMap<String, Spare>) {
+fn look(shared: &Shared, spares: &mut HashMap<String, Garbage>) {
     let now = shared.now();
     let world = shared.world.borrow();
     let jobs = || world.shelves.iter().flat_map(|shelf| &shelf.book.jobs);
     for (id, job) in jobs() {
-        spares.entry(id.clone()).or_insert_with(|| Spare::new(now)).look(job, now);
+        spares.entry(id.clone()).or_insert_with(|| Garbage::new(now)).look(job, now);
     }
     spares.retain(|id, _| world.shelves.iter().any(|shelf| shelf.book.jobs.contains_key(id)));
 }
 
 /// Records of a partition that nothing needs and that fall to this instance.
-fn due(shared: &Shared, part: usize, spares: &HashMap<String, Spare>) -> Due {
+fn due(shared: &Shared, part: usize, spares: &HashMap<String, Garbage>) -> Due {
     let status_ms = shared.settings.times.status_ms();
-    let (now, wall_ms, terms) = (shared.now(), wall_ms(), Terms { status_ms });
+    let (now, wall_ms, terms) = (shared.now(), wall_ms(), Retention { status_ms });
     let world = shared.world.borrow();
     let mut due = Due::default();
     let book = &world.shelves[part].book;
@@ -184,12 +184,12 @@
     due
 }
 
-fn is_named(book: &Book, job: &str, key: &str) -> bool {
+fn is_named(book: &Index, job: &str, key: &str) -> bool {
     let job = book.jobs.get(job);
-    job.is_some_and(|job| job.head.bundles.iter().any(|bundle| bundle.key == key))
+    job.is_some_and(|job| job.manifest.bundles.iter().any(|bundle| bundle.key == key))
 }
 
-fn done(shared: &Shared, part: usize, due: Due, spares: &mut HashMap<String, Spare>) {
+fn done(shared: &Shared, part: usize, due: Due, spares: &mut HashMap<String, Garbage>) {
     spares.extend(due.after);
     let mut orphans = shared.orphans.0.borrow_mut();
     orphans.retain(|orphan| orphan.part != part || !due.orphans.contains(&orphan.key));
@@ -216,7 +216,7 @@
 /// between a text's append and that of its result. What is known was dropped
 /// before, so that mostly nothing is left.
 async fn sweep(shared: &Rc<Shared>, part: &Part, job: &str) -> Result<(), Fault> {
-    let first = batch::first_key(job);
+    let first = batch::key_prefix(job);
     let mut after = Some(first.clone());
     while let Some(from) = after {
         let page = shared.reader.newest(part, Some(from)).await?;
--- a/crates/hollywell/src/entry/jobs.rs
+++ b/crates/hollywell/src/entry/jobs.rs
@@ -16,7 +16,7 @@
 
 use crate::{
     core::{
-        batch::{self, Head, Outcome, Sample, Submission, TextRef},
+        batch::{self, Manifest, Outcome, Sample, Submission, TextRef},
         dispatch::{Event, Slot},
         room::Use,
     },
@@ -124,7 +124,7 @@
             return Reply::NotDone;
         }
     };
-    let head = Head {
+    let head = Manifest {
         host: host.to_owned(),
         path: path.to_owned(),
         at_ms: wall_ms(),
@@ -136,7 +136,7 @@
         bundles,
         organisation: caller.organisation().to_owned(),
     };
-    let (key, value) = batch::head_record(job, &head);
+    let (key, value) = batch::manifest_record(job, &head);
     let most = shared.settings.store.record_bytes;
     if key.len() + value.len() >= most {
         return Reply::Malformed(format!("{} bytes of a job's head exceed {most}", value.len()));
@@ -198,7 +198,7 @@
 /// Whether a job is known that the caller may see.
 fn is_seen(shared: &Shared, caller: &Caller, part: usize, job: &str) -> bool {
     let world = shared.world.borrow();
-    let head = world.shelves[part].book.jobs.get(job).map(|job| &job.head);
+    let head = world.shelves[part].book.jobs.get(job).map(|job| &job.manifest);
     head.is_some_and(|head| caller.may_see(&head.organisation))
 }
 
@@ -256,7 +256,7 @@
 }
 
 /// Reads a job's results from a position on, waiting for `hold` at most for
-/// those that are worth an answer ([`batch::Job::is_worth_reading`]).
+/// those that are worth an answer ([`batch::Job::is_worth_answering`]).
 ///
 /// Trainers wait for a number of whole groups, and come back half a second
 /// after each answer. With an answer at the first result, the last one that a
@@ -273,8 +273,8 @@
     let listed = |shared: &Shared| {
         let world = shared.world.borrow();
         let job = world.shelves[part].book.jobs.get(job)?;
-        let due = job.is_worth_reading(after) || after >= job.done.len();
-        Some((job.listed.len(), due))
+        let due = job.is_worth_answering(after) || after >= job.done.len();
+        Some((job.results.len(), due))
     };
     // A position beyond the fold was read elsewhere, or never existed.
     if listed(shared).is_none_or(|(len, _)| len < after) && !catch_up(shared, part).await {
@@ -359,7 +359,7 @@
     let job = world.shelves[part].book.jobs.get(job)?;
     let mut outcomes: Vec<Outcome> = Vec::new();
     let mut bytes = 0;
-    for listed in job.listed.iter().skip(after) {
+    for listed in job.results.iter().skip(after) {
         let outcome: Outcome = match Outcome::decode(listed.value.clone()) {
             Ok(outcome) => outcome,
             Err(error) => {
--- a/crates/hollywell/src/entry/lease.rs
+++ b/crates/hollywell/src/entry/lease.rs
@@ -13,7 +13,7 @@
 use crate::{
     core::{
         room::Use,
-        store_lease::{Claim, Tenure, Terms},
+        store_lease::{Claim, StoreLease, Timing},
     },
     entry::{
         shared::Shared,
@@ -35,8 +35,8 @@
     part: Part,
     /// What it is on, for logs.
     what: String,
-    terms: Terms,
-    tenure: RefCell<Tenure>,
+    terms: Timing,
+    tenure: RefCell<StoreLease>,
     /// There is something to do for its holder.
     wanted: Cell<bool>,
     /// Told when a claim must come before the next regular one.
@@ -50,7 +50,7 @@
         Rc::new(Lease {
             part,
             what: what.to_owned(),
-            terms: Terms { term_ms: TERM_MS, apart_ms },
+            terms: Timing { term_ms: TERM_MS, apart_ms },
             tenure: RefCell::default(),
             wanted: Cell::new(false),
             urgent: Notify::new(),
--- a/crates/hollywell/src/entry/orders.rs
+++ b/crates/hollywell/src/entry/orders.rs
@@ -112,9 +112,9 @@
         if job.ended || job.is_whole() || world.ending.holds(id) {
             continue;
         }
-        let samples = (job.done.len() - job.listed.len()) as u64;
-        let step = Step { min_version: job.head.min_version, samples };
-        steps.entry(job.head.model.clone()).or_default().push(step);
+        let samples = (job.done.len() - job.results.len()) as u64;
+        let step = Step { min_version: job.manifest.min_version, samples };
+        steps.entry(job.manifest.model.clone()).or_default().push(step);
     }
     steps
 }
--- a/crates/hollywell/src/entry/outbox.rs
+++ b/crates/hollywell/src/entry/outbox.rs
@@ -69,7 +69,7 @@
         let Some(job) = world.shelves[part].book.jobs.get(&slot.job) else {
             return;
         };
-        let id = job.head.samples[slot.at].id.clone();
+        let id = job.manifest.samples[slot.at].id.clone();
         let versions = if dead { vec![] } else { text.versions.into_iter().collect() };
         let score = text.score.filter(|_| !dead);
         let outcome = Outcome { id, dead, text: None, versions, score };
@@ -286,7 +286,7 @@
         }
         grown.push(Grown {
             slot: slot.clone(),
-            sample: job.head.samples[slot.at].id.clone(),
+            sample: job.manifest.samples[slot.at].id.clone(),
             last: text.last,
             versions: text.versions.iter().copied().collect(),
             kept: text.kept.clone(),
--- a/crates/hollywell/src/entry/reader.rs
+++ b/crates/hollywell/src/entry/reader.rs
@@ -16,7 +16,7 @@
 use crate::{
     core::{
         group::Listing,
-        timeout::{self, Patience},
+        timeout::{self, Timeout},
     },
     entry::store::{Client, Fault, Limited, Newest, Page, Part, Read, Records},
 };
@@ -31,7 +31,7 @@
 #[derive(Debug)]
 pub struct Reader {
     store: Client,
-    patience: RefCell<Patience>,
+    timeout: RefCell<Timeout>,
     pages: Semaphore,
     instances: Cell<usize>,
     away: Cell<bool>,
@@ -43,7 +43,7 @@
     pub fn new(store: Client) -> Reader {
         Reader {
             store,
-            patience: RefCell::default(),
+            timeout: RefCell::default(),
             pages: Semaphore::new(PAGES_AT_ONCE),
             instances: Cell::new(1),
             away: Cell::new(false),
@@ -59,7 +59,7 @@
     pub fn store_is_away(&self, away: bool) {
         self.away.set(away);
         if away {
-            self.patience.borrow_mut().away();
+            self.timeout.borrow_mut().unavailable();
         }
     }
 
@@ -112,10 +112,10 @@
     }
 
     /// Pauses after a call that failed, the last of so many in a row: up
-    /// to [`timeout::pause_most_ms`], so that instances that failed together
+    /// to [`timeout::max_backoff_ms`], so that instances that failed together
     /// do not return together.
     pub async fn pause(&self, failures: u32) {
-        let most = timeout::pause_most_ms(failures, self.instances.get(), self.away.get());
+        let most = timeout::max_backoff_ms(failures, self.instances.get(), self.away.get());
         sleep(Duration::from_millis(rand::random_range(0..=most))).await;
     }
 
@@ -125,19 +125,19 @@
         wait: Duration,
         call: impl FnOnce(Duration) -> crate::entry::store::LocalFuture<Result<T, Fault>>,
     ) -> Result<T, Fault> {
-        let limit_ms = self.patience.borrow().limit_ms();
+        let limit_ms = self.timeout.borrow().limit_ms();
         let started = Instant::now();
         let answer = call(Duration::from_millis(limit_ms)).await;
         let took = started.elapsed();
-        let mut patience = self.patience.borrow_mut();
+        let mut timeout = self.timeout.borrow_mut();
         match &answer {
             // An answer that came before its time waited for a record: how
             // long it took beyond that is not known.
             Ok(_) if took >= wait => {
                 let beyond = took.saturating_sub(wait).as_millis();
-                patience.answered(u64::try_from(beyond).unwrap_or(u64::MAX));
+                timeout.answered(u64::try_from(beyond).unwrap_or(u64::MAX));
             }
-            Err(Fault::Silent) if !self.away.get() => patience.silent(limit_ms),
+            Err(Fault::Silent) if !self.away.get() => timeout.timed_out(limit_ms),
             _ => {}
         }
         answer
--- a/crates/hollywell/src/entry/room.rs
+++ b/crates/hollywell/src/entry/room.rs
@@ -8,7 +8,7 @@
 
 use crate::{
     core::{
-        batch::{CLOCKS_APART_MS, Job, Submission},
+        batch::{Job, MAX_CLOCK_SKEW_MS, Submission},
         dispatch::owner,
         room::{self, LIVE_OVERHEAD, LOG_OVERHEAD, Use},
     },
@@ -72,7 +72,7 @@
     let jobs = || world.shelves.iter().flat_map(|shelf| shelf.book.jobs.values());
     let live = jobs().map(Job::bytes).sum();
     let tokens: u64 = jobs().map(Job::tokens_to_come).sum();
-    let samples = jobs().filter(|job| !job.ended).map(|job| job.done.len() - job.listed.len());
+    let samples = jobs().filter(|job| !job.ended).map(|job| job.done.len() - job.results.len());
     let outcomes = samples.sum::<usize>() as u64 * OUTCOME_BYTES;
     let most = world.room.log_most(2 * world.shelves.len());
     let own = world.shelves.iter().flat_map(|shelf| &shelf.logs).map(|log| log.bytes(most));
@@ -119,12 +119,12 @@
 
 /// In how many milliseconds the records of a job will be dropped next.
 fn next_drop_ms(shared: &Shared) -> Option<u64> {
-    let kept_ms = shared.settings.times.status_ms().saturating_add(CLOCKS_APART_MS);
+    let kept_ms = shared.settings.times.status_ms().saturating_add(MAX_CLOCK_SKEW_MS);
     let now_ms = wall_ms();
     let world = shared.world.borrow();
     let jobs = world.shelves.iter().flat_map(|shelf| shelf.book.jobs.values());
     let left = |at_ms: u64| kept_ms.saturating_sub(now_ms.saturating_sub(at_ms));
-    jobs.filter(|job| job.ended).map(|job| left(job.head.at_ms)).min()
+    jobs.filter(|job| job.ended).map(|job| left(job.manifest.at_ms)).min()
 }
 
 /// Trims the logs of a partition of jobs and of the partition of texts with
--- a/crates/hollywell/src/entry/run.rs
+++ b/crates/hollywell/src/entry/run.rs
@@ -115,7 +115,7 @@
     let known = world.texts.get(slot).map_or(0, |text| text.last);
     if partial.last > known {
         // What an earlier job kept goes with that job, and is kept anew.
-        let own = partial.is_of(&slot.job);
+        let own = partial.belongs_to(&slot.job);
         let text = Text {
             last: partial.last,
             versions: partial.versions.into_iter().collect(),
@@ -136,7 +136,7 @@
     let job = world.shelves[part].book.jobs.get(&slot.job)?;
     let partial = job.partials.get(&slot.at)?;
     let known = world.texts.get(slot).map_or(0, |text| text.last);
-    let allowed = partial.is_allowed(job.head.min_version);
+    let allowed = partial.is_allowed(job.manifest.min_version);
     (partial.last > known && allowed).then(|| partial.clone())
 }
 
@@ -180,7 +180,8 @@
 fn digest(shared: &Shared, slot: &Slot, sample: &Sample) -> Digest {
     let world = shared.world.borrow();
     let job = world.shelves[shared.part_of(&slot.job)].book.jobs.get(&slot.job);
-    let (host, organisation) = job.map_or(("", ""), |job| (&job.head.host, &job.head.organisation));
+    let (host, organisation) =
+        job.map_or(("", ""), |job| (&job.manifest.host, &job.manifest.organisation));
     Digest::of(&["POST", host, &sample.path, organisation], &sample.body)
 }
 
@@ -232,12 +233,12 @@
     let job = world.shelves[shared.part_of(&slot.job)].book.jobs.get(&slot.job)?;
     let headers = &shared.dialect.headers;
     let mut request = Request::post(sample.path.as_str())
-        .header(http::header::HOST, job.head.host.as_str())
+        .header(http::header::HOST, job.manifest.host.as_str())
         .header(&headers.request_id, sample.id.as_str())
         .header(&headers.target, target.id.as_str())
         .header(&headers.priority, HeaderValue::from(u16::from(priority)));
-    if !job.head.organisation.is_empty() {
-        request = request.header(&headers.organisation, job.head.organisation.as_str());
+    if !job.manifest.organisation.is_empty() {
+        request = request.header(&headers.organisation, job.manifest.organisation.as_str());
     }
     for header in &sample.headers {
         request = request.header(header.name.as_str(), header.value.as_str());
@@ -318,8 +319,8 @@
         let Some(job) = world.shelves[shared.part_of(&slot.job)].book.jobs.get(&slot.job) else {
             return End::Broken;
         };
-        let (model, min_version) = (job.head.model.clone(), job.head.min_version);
-        let id = job.head.samples[slot.at].id.clone();
+        let (model, min_version) = (job.manifest.model.clone(), job.manifest.min_version);
+        let id = job.manifest.samples[slot.at].id.clone();
         Context { shared, run, slot, target, digest, model, min_version, id }
     };
     match events(&context, answer).await {
--- a/crates/hollywell/src/entry/samples.rs
+++ b/crates/hollywell/src/entry/samples.rs
@@ -9,7 +9,7 @@
 
 use crate::{
     core::{
-        batch::{self, Brief, Bundle, Sample, Submission, TextRef},
+        batch::{self, Bundle, Sample, SampleMeta, Submission, TextRef},
         dispatch::Slot,
         room::Use,
     },
@@ -30,7 +30,7 @@
     let part = shared.part_of(&slot.job);
     let (bundle, at, text) = {
         let world = shared.world.borrow();
-        let head = &world.shelves[part].book.jobs.get(&slot.job)?.head;
+        let head = &world.shelves[part].book.jobs.get(&slot.job)?.manifest;
         let brief = head.samples.get(slot.at)?;
         let (bundle, at) = (brief.bundle as usize, brief.at as usize);
         let known = world.bundles.get(&(slot.job.clone(), bundle));
@@ -77,7 +77,7 @@
     shared: &Rc<Shared>,
     job: &str,
     submission: &Submission,
-) -> Result<(Vec<Brief>, Vec<TextRef>), Fault> {
+) -> Result<(Vec<SampleMeta>, Vec<TextRef>), Fault> {
     let part = shared.part_of(job);
     let store = &shared.settings.store;
     let (briefs, bundles) = batch::bundle(submission, store.record_bytes / 2);
--- a/crates/hollywell/src/entry/settings.rs
+++ b/crates/hollywell/src/entry/settings.rs
@@ -47,7 +47,7 @@
     /// The address of the platform's API.
     pub address: SocketAddr,
     /// Windows of usage.
-    pub usage: usage::Terms,
+    pub usage: usage::Schedule,
 }
 
 /// The store.
@@ -195,6 +195,6 @@
     let window = reader.time(section, "report_window_s", SECOND, 5.0, 0.1..=MOST_S);
     let late = reader.time(section, "usage_late_s", SECOND, 10.0, 0.1..=MOST_S);
     let ms = |time: Duration| u64::try_from(time.as_millis()).unwrap_or(u64::MAX);
-    let usage = usage::Terms { window_ms: ms(window), late_ms: ms(late) };
+    let usage = usage::Schedule { window_ms: ms(window), late_ms: ms(late) };
     is_set.then(|| Duties { address: reader.address(section, "address"), usage })
 }
--- a/crates/hollywell/src/entry/shared.rs
+++ b/crates/hollywell/src/entry/shared.rs
@@ -17,13 +17,13 @@
 use crate::{
     clock::Clock,
     core::{
-        batch::{self, Book, Bundle, Change, Record, Written},
+        batch::{self, Bundle, Change, Index, Record, Written},
         choice::Sights,
         dispatch::{self, Effect, Event, Run, Slot, Work},
         ending,
         fleet::{Announcement, Fleet},
         group::Census,
-        permit::Turns,
+        permit::Permits,
         plan::{Plan, Repeat},
         poison,
         roll::Models,
@@ -71,7 +71,7 @@
 #[derive(Debug, Default)]
 pub struct Shelf {
     /// The jobs.
-    pub book: Book,
+    pub book: Index,
     /// The logs of jobs and of texts.
     pub logs: [room::Log; 2],
     /// The offset to read next.
@@ -237,13 +237,13 @@
     pub texts: Texts,
     /// What is known against requests and not in the store yet.
     pub unsaved: suspects::Unsaved,
-    /// Turns to try suspects that this instance gives out.
-    pub turns: RefCell<Turns>,
+    /// Permits to try suspects that this instance gives out.
+    pub turns: RefCell<Permits>,
     /// What is counted here of organisations' requests.
     pub usage: usage::Usage,
     /// Records that nothing may name.
     pub orphans: clean::Orphans,
-    /// Turns true when the instance stops.
+    /// Permits true when the instance stops.
     pub stop: watch::Sender<bool>,
 }
 
@@ -424,7 +424,7 @@
         };
         for job in dropped {
             log::info!("job {job} was dropped while nothing was read here");
-            self.changed(part, Change::Dropped(job));
+            self.changed(part, Change::Deleted(job));
         }
     }
 
@@ -432,9 +432,9 @@
         match change {
             Change::Opened(job) => self.open(part, job),
             Change::Skipped(skip) => log::warn!("{skip}"),
-            Change::Listed(job, at) => self.tell(&Event::Listed(Slot { job, at })),
-            Change::Grown(job, at) => self.grown(part, Slot { job, at }),
-            Change::Ended(job) | Change::Dropped(job) => {
+            Change::ResultStored(job, at) => self.tell(&Event::Listed(Slot { job, at })),
+            Change::PartialStored(job, at) => self.grown(part, Slot { job, at }),
+            Change::Ended(job) | Change::Deleted(job) => {
                 self.close(&job);
                 ends::tell(self, &ending::Event::Settled(job));
             }
@@ -498,19 +498,20 @@
                 return;
             }
             let plan = world.plan.clone();
-            let route = plan.as_ref().and_then(|plan| plan.route(&job.head.host, &job.head.path));
+            let route =
+                plan.as_ref().and_then(|plan| plan.route(&job.manifest.host, &job.manifest.path));
             let Some(route) = route.filter(|route| route.repeat == Repeat::Batch) else {
                 world.unopened.push(id);
                 return;
             };
-            let keep_ms = batch::keep_for(route.keep_ms, job.head.at_ms, wall_ms());
-            let head = job.head.clone();
+            let keep_ms = batch::retention_left_ms(route.keep_ms, job.manifest.at_ms, wall_ms());
+            let head = job.manifest.clone();
             let mut work = Work {
                 job: id,
                 part,
                 pool: route.pools.first().map(|(pool, _)| pool.clone()).unwrap_or_default(),
-                model: job.head.model.clone(),
-                min_version: job.head.min_version,
+                model: job.manifest.model.clone(),
+                min_version: job.manifest.min_version,
                 attempts: route.attempts,
                 keep_until: self.now().after(keep_ms),
                 samples: vec![],
--- a/crates/hollywell/src/entry/suspects.rs
+++ b/crates/hollywell/src/entry/suspects.rs
@@ -182,7 +182,7 @@
         if self.ends_by_itself {
             return;
         }
-        self.shared.turns.borrow_mut().give_back(&self.subject, &self.asked.who);
+        self.shared.turns.borrow_mut().release(&self.subject, &self.asked.who);
         let Some(keeper) = self.keeper.take() else {
             return;
         };
@@ -206,7 +206,7 @@
     let subject = if keeper.is_some() { format!("here/{pool}") } else { pool.to_owned() };
     let asked = Asked { pool: pool.to_owned(), who: shared.unique(), is_over: false };
     let now = shared.now();
-    if !shared.turns.borrow_mut().take(now, &subject, &asked.who) {
+    if !shared.turns.borrow_mut().try_acquire(now, &subject, &asked.who) {
         return None;
     }
     let word = Bytes::from(asked.encode_to_vec());
@@ -227,10 +227,10 @@
     };
     let (now, mut turns) = (shared.now(), shared.turns.borrow_mut());
     if is_over {
-        turns.give_back(&pool, &who);
+        turns.release(&pool, &who);
         return peers::nothing(StatusCode::OK);
     }
-    let is_free = turns.take(now, &pool, &who);
+    let is_free = turns.try_acquire(now, &pool, &who);
     peers::nothing(if is_free { StatusCode::OK } else { StatusCode::CONFLICT })
 }
 
--- a/crates/hollywell/src/entry/unbegun.rs
+++ b/crates/hollywell/src/entry/unbegun.rs
@@ -69,11 +69,11 @@
         return (!world.ending.holds(id)).then_some(Why::Unread);
     };
     let is_here = world.texts.keys().any(|slot| slot.job == id);
-    if job.ended || is_here || !job.listed.is_empty() || !job.partials.is_empty() {
+    if job.ended || is_here || !job.results.is_empty() || !job.partials.is_empty() {
         return None;
     }
     let plan = world.plan.as_ref();
-    let route = plan.and_then(|plan| plan.route(&job.head.host, &job.head.path));
+    let route = plan.and_then(|plan| plan.route(&job.manifest.host, &job.manifest.path));
     let pool = route.and_then(|route| route.pools.first());
     let Some((pool, _)) = pool else {
         return Some(Why::Unrouted);
@@ -84,7 +84,7 @@
     if world.roster.members().is_empty() {
         return Some(Why::Alone);
     }
-    let fits = |target: &Target| target.may_run(&job.head.model, job.head.min_version);
+    let fits = |target: &Target| target.may_run(&job.manifest.model, job.manifest.min_version);
     let is_served = world.fleet.usable(pool).any(fits);
     Some(if is_served { Why::Waits } else { Why::NoTarget })
 }
--- a/crates/hollywell/tests/batch.rs
+++ b/crates/hollywell/tests/batch.rs
@@ -8,8 +8,8 @@
 use arbtest::arbtest;
 use bytes::Bytes;
 use hollywell::core::batch::{
-    Book, Change, Head, Outcome, Partial, Record, Sample, Submission, TextRef, bundle, end_record,
-    head_record, is_id, keep_for, outcome_record, partial_record,
+    Change, Index, Manifest, Outcome, Partial, Record, Sample, Submission, TextRef, bundle,
+    end_record, is_id, manifest_record, outcome_record, partial_record, retention_left_ms,
 };
 use prost::Message as _;
 
@@ -30,7 +30,7 @@
 
 fn submitted(samples: usize) -> Vec<(String, Bytes)> {
     let (briefs, _) = bundle(&submission(samples), 4_096);
-    vec![head_record("j", &Head { samples: briefs, ..Head::default() })]
+    vec![manifest_record("j", &Manifest { samples: briefs, ..Manifest::default() })]
 }
 
 fn partial() -> Partial {
@@ -48,12 +48,12 @@
     let head = |key: &str, at_ms| {
         let bundles = vec![TextRef { part: 0, offset: 0, key: key.into(), len: 10 }];
         let (samples, _) = bundle(&submission(1), 4_096);
-        head_record("j", &Head { at_ms, samples, bundles, ..Head::default() })
+        manifest_record("j", &Manifest { at_ms, samples, bundles, ..Manifest::default() })
     };
     let records = log(vec![head("j|b|w1", 5), head("j|b|w2", 9)]);
     let (both, one) = (fold(&records), fold(&records[1..]));
-    assert_eq!(both.jobs["j"].head.bundles, one.jobs["j"].head.bundles);
-    assert_eq!(both.jobs["j"].head.at_ms, 5, "it is as old as the first");
+    assert_eq!(both.jobs["j"].manifest.bundles, one.jobs["j"].manifest.bundles);
+    assert_eq!(both.jobs["j"].manifest.at_ms, 5, "it is as old as the first");
 }
 
 fn log(records: Vec<(String, Bytes)>) -> Vec<Record> {
@@ -65,16 +65,16 @@
     records.into_iter().enumerate().map(record).collect()
 }
 
-fn fold(records: &[Record]) -> Book {
-    let mut book = Book::default();
+fn fold(records: &[Record]) -> Index {
+    let mut book = Index::default();
     for record in records {
         book.apply(record).unwrap();
     }
     book
 }
 
-fn listed(book: &Book) -> Vec<Bytes> {
-    book.jobs["j"].listed.iter().map(|listed| listed.value.clone()).collect()
+fn listed(book: &Index) -> Vec<Bytes> {
+    book.jobs["j"].results.iter().map(|listed| listed.value.clone()).collect()
 }
 
 /// What is left after a compaction: the newest record of each key, by offset.
@@ -135,7 +135,7 @@
         records.push(outcome_record("j", "a", &outcome(sample, "text")));
     }
     let worth = |results: usize, after: usize| {
-        fold(&log(records[..=results].to_vec())).jobs["j"].is_worth_reading(after)
+        fold(&log(records[..=results].to_vec())).jobs["j"].is_worth_answering(after)
     };
     assert!(!worth(2, 0), "two halves of groups are no group");
     assert!(worth(3, 0), "s0 and s1 are one");
@@ -147,12 +147,12 @@
 #[test]
 fn a_read_is_worth_an_answer_at_half_of_the_groups_that_are_missing() {
     let (samples, _) = bundle(&submission(16), 4_096);
-    let head = Head { samples, groups_wanted: 6, ..Head::default() };
+    let head = Manifest { samples, groups_wanted: 6, ..Manifest::default() };
     let worth = |groups: usize, after: usize| {
-        let mut records = vec![head_record("j", &head)];
+        let mut records = vec![manifest_record("j", &head)];
         let results = (0..groups * 2).map(|n| outcome_record("j", "a", &outcome(n, "text")));
         records.extend(results);
-        fold(&log(records)).jobs["j"].is_worth_reading(after)
+        fold(&log(records)).jobs["j"].is_worth_answering(after)
     };
     assert_eq!((worth(2, 0), worth(3, 0)), (false, true), "six are missing");
     assert_eq!((worth(4, 6), worth(5, 6)), (false, true), "three are missing");
@@ -164,8 +164,12 @@
 fn a_clock_that_is_seconds_ahead_gives_no_sample_up() {
     // Submitted by a clock 2.4 s behind, looked at by one 2.4 s ahead.
     let (submitted, kept) = (100_000, 40_000);
-    assert!(keep_for(kept, submitted - 2_400, submitted + kept - 1 + 2_400) > 0);
-    assert_eq!(keep_for(kept, submitted, submitted + kept + 60_000), 0, "but not for good");
+    assert!(retention_left_ms(kept, submitted - 2_400, submitted + kept - 1 + 2_400) > 0);
+    assert_eq!(
+        retention_left_ms(kept, submitted, submitted + kept + 60_000),
+        0,
+        "but not for good"
+    );
 }
 
 #[test]
@@ -175,9 +179,9 @@
         sample.group = String::new();
     }
     let (samples, _) = bundle(&submission, 4_096);
-    let mut records = vec![head_record("j", &Head { samples, ..Head::default() })];
+    let mut records = vec![manifest_record("j", &Manifest { samples, ..Manifest::default() })];
     records.push(outcome_record("j", "a", &outcome(1, "text")));
-    assert!(fold(&log(records)).jobs["j"].is_worth_reading(0));
+    assert!(fold(&log(records)).jobs["j"].is_worth_answering(0));
 }
 
 #[test]
@@ -214,8 +218,11 @@
     let records = log(records);
     let mut book = fold(&records[..2]);
     let changes = book.apply(&records[2]).unwrap();
-    let expected =
-        [Change::Opened("j".into()), Change::Listed("j".into(), 1), Change::Ended("j".into())];
+    let expected = [
+        Change::Opened("j".into()),
+        Change::ResultStored("j".into(), 1),
+        Change::Ended("j".into()),
+    ];
     assert_eq!(changes, expected);
 }
 
--- a/crates/hollywell/tests/poison.rs
+++ b/crates/hollywell/tests/poison.rs
@@ -11,7 +11,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use hollywell::core::{
-    permit::Turns,
+    permit::Permits,
     poison::{Digest, ENOUGH, SETTLE_MS, State, Verdict, trial},
     time::Time,
 };
@@ -91,7 +91,7 @@
     persistent: bool,
     /// One suspect of all instances is tried at a time, at a target that is
     /// kept free for it.
-    turns: Option<Turns>,
+    turns: Option<Permits>,
     /// Since when innocent requests have been held back.
     held: BTreeMap<u64, u64>,
     /// Innocent requests that were held back for too long in a crowd.
@@ -170,7 +170,7 @@
                 }
                 let now = Time(self.now);
                 if let Some(turns) = &mut self.turns
-                    && !turns.take(now, "pool", &number.to_string())
+                    && !turns.try_acquire(now, "pool", &number.to_string())
                 {
                     return self.again(number);
                 }
@@ -203,7 +203,7 @@
 
     fn give_back(&mut self, number: u64) {
         if let Some(turns) = &mut self.turns {
-            turns.give_back("pool", &number.to_string());
+            turns.release("pool", &number.to_string());
         }
     }
 
@@ -368,7 +368,7 @@
 fn culprits_that_are_tried_alone_end_no_target_after_the_third() {
     for seed in 0..SCHEDULES {
         for (culprits, targets) in [(1, 3), (2, 3), (6, 3), (12, 3), (12, 6), (40, 3)] {
-            let turns = Some(Turns::default());
+            let turns = Some(Permits::default());
             let ends =
                 play_world(World { persistent: true, turns, ..world(seed, culprits, targets) });
             for (culprit, ends) in ends {
--- a/crates/hollywell/tests/reader.rs
+++ b/crates/hollywell/tests/reader.rs
@@ -10,7 +10,7 @@
 };
 
 use hollywell::{
-    core::timeout::{Patience, pause_most_ms},
+    core::timeout::{Timeout, max_backoff_ms},
     entry::{
         reader::Reader,
         store::{Append, Client, Fault, Join, LocalFuture, Newest, Page, Part, Read, Records},
@@ -220,17 +220,17 @@
 #[test]
 fn one_that_answers_nobody_is_asked_again_soon_and_a_crowded_one_is_not() {
     for failures in 1..20 {
-        assert!(pause_most_ms(failures, 1_000, true) <= 400, "its return is noticed");
-        assert!(pause_most_ms(failures, 30, false) <= 400, "few instances are no crowd");
-        assert!(pause_most_ms(failures + 1, 300, false) >= pause_most_ms(failures, 300, false));
+        assert!(max_backoff_ms(failures, 1_000, true) <= 400, "its return is noticed");
+        assert!(max_backoff_ms(failures, 30, false) <= 400, "few instances are no crowd");
+        assert!(max_backoff_ms(failures + 1, 300, false) >= max_backoff_ms(failures, 300, false));
     }
-    assert_eq!(pause_most_ms(20, 300, false), 4_000, "pauses grow with the instances");
+    assert_eq!(max_backoff_ms(20, 300, false), 4_000, "pauses grow with the instances");
 }
 
 #[test]
 fn the_silence_that_is_borne_follows_what_answers_take() {
     arbtest::arbtest(|u| {
-        let mut patience = Patience::default();
+        let mut patience = Timeout::default();
         let usual: u64 = u.int_in_range(1..=4_000)?;
         for _ in 0..40 {
             let took = usual + u.int_in_range(0..=usual / 10)?;
@@ -240,7 +240,7 @@
         assert!(limit > usual, "{limit} ms where answers take {usual}");
         assert!((800..=6_000).contains(&limit), "{limit}");
         for _ in 0..u.int_in_range(0..=50)? {
-            patience.silent(patience.limit_ms());
+            patience.timed_out(patience.limit_ms());
             assert!(patience.limit_ms() <= 6_000);
         }
         Ok(())
--- a/crates/hollywell/tests/spare.rs
+++ b/crates/hollywell/tests/spare.rs
@@ -5,19 +5,20 @@
 use bytes::Bytes;
 use hollywell::core::{
     batch::{
-        Book, Brief, Head, Keys, Outcome, Partial, Record, Spare, Terms, TextRef, bundle_key,
-        end_record, head_record, outcome_record, partial_record, partial_text_key, text_key,
+        Garbage, Index, Keys, Manifest, Outcome, Partial, Record, Retention, SampleMeta, TextRef,
+        bundle_key, end_record, manifest_record, outcome_record, partial_record, partial_text_key,
+        text_key,
     },
     room::{Log, State, Use},
     time::Time,
 };
 
-const TERMS: Terms = Terms { status_ms: 120_000 };
+const TERMS: Retention = Retention { status_ms: 120_000 };
 
 /// A log and its fold.
 #[derive(Default)]
 struct World {
-    book: Book,
+    book: Index,
     end: u64,
 }
 
@@ -25,7 +26,7 @@
     /// With a job of two groups of two samples, a bundle each.
     fn new() -> World {
         let mut world = World::default();
-        let brief = |at: u32| Brief {
+        let brief = |at: u32| SampleMeta {
             id: format!("s{at}"),
             group: format!("g{}", at / 2),
             tokens: 10,
@@ -33,13 +34,13 @@
             at: at % 2,
         };
         let bundles = ["b0", "b1"].map(|writer| text(&bundle_key("j", writer)));
-        let head = Head {
+        let head = Manifest {
             at_ms: 1_000,
             samples: (0..4).map(brief).collect(),
             bundles: bundles.to_vec(),
-            ..Head::default()
+            ..Manifest::default()
         };
-        world.append(head_record("j", &head));
+        world.append(manifest_record("j", &head));
         world
     }
 
@@ -64,7 +65,7 @@
     }
 
     /// Takes what is due and drops it, as one instance does.
-    fn drop_due(&mut self, spare: &mut Spare, now: u64) -> Keys {
+    fn drop_due(&mut self, spare: &mut Garbage, now: u64) -> Keys {
         spare.look(&self.book.jobs["j"], Time(now));
         let (keys, after) = spare.next("j", &self.book.jobs["j"], Time(now));
         *spare = after;
@@ -85,7 +86,7 @@
 
 #[test]
 fn requests_go_once_their_group_is_listed() {
-    let (mut world, mut spare) = (World::new(), Spare::new(Time(0)));
+    let (mut world, mut spare) = (World::new(), Garbage::new(Time(0)));
     world.list("w", 0);
     assert!(world.drop_due(&mut spare, 0).is_empty(), "the other sample is to be run");
     world.list("w", 1);
@@ -97,7 +98,7 @@
 
 #[test]
 fn pieces_of_an_unfinished_text_go_once_the_sample_is_listed_whoever_kept_them() {
-    let (mut world, mut spare) = (World::new(), Spare::new(Time(0)));
+    let (mut world, mut spare) = (World::new(), Garbage::new(Time(0)));
     world.keep(&["a.1"], 0);
     world.keep(&["a.1", "a.2"], 0);
     world.keep(&["b.1"], 0);
@@ -117,7 +118,7 @@
 
 #[test]
 fn unfinished_texts_outlive_their_jobs_end_for_a_later_step_and_no_longer() {
-    let (mut world, mut spare) = (World::new(), Spare::new(Time(0)));
+    let (mut world, mut spare) = (World::new(), Garbage::new(Time(0)));
     world.keep(&["a.1"], 3);
     world.append(end_record("j"));
     let keys = world.drop_due(&mut spare, 1_000);
@@ -130,19 +131,19 @@
 
 #[test]
 fn a_second_result_goes_and_the_first_stays() {
-    let (mut world, mut spare) = (World::new(), Spare::new(Time(0)));
+    let (mut world, mut spare) = (World::new(), Garbage::new(Time(0)));
     world.list("a", 0);
     world.list("b", 0);
     let keys = world.drop_due(&mut spare, 0);
     assert_eq!(keys.texts, [text_key("j", "b", "s0")]);
     assert!(keys.jobs[0].contains("|r|b|"), "{:?}", keys.jobs);
     assert!(world.drop_due(&mut spare, 1).is_empty());
-    assert_eq!(world.book.jobs["j"].listed.len(), 1);
+    assert_eq!(world.book.jobs["j"].results.len(), 1);
 }
 
 #[test]
 fn a_text_that_both_results_name_stays() {
-    let (mut world, mut spare) = (World::new(), Spare::new(Time(0)));
+    let (mut world, mut spare) = (World::new(), Garbage::new(Time(0)));
     // The answer to the append of the result was lost, so that it was
     // appended again; its text lay in the store before.
     let text = Some(text(&text_key("j", "a", "s0")));
@@ -156,7 +157,7 @@
 
 #[test]
 fn an_open_job_is_never_over_and_an_ended_one_only_after_what_was_promised() {
-    let (mut world, spare) = (World::new(), Spare::new(Time(0)));
+    let (mut world, spare) = (World::new(), Garbage::new(Time(0)));
     let late = (Time(10_000_000), 10_000_000);
     assert!(!spare.is_over(&world.book.jobs["j"], late.0, late.1, TERMS));
     world.append(end_record("j"));
@@ -174,7 +175,7 @@
     world.keep(&["a.1"], 1);
     world.append(end_record("j"));
     let keys = world.book.jobs["j"].keys("j");
-    let pair = [end_record("j").0, head_record("j", &Head::default()).0];
+    let pair = [end_record("j").0, manifest_record("j", &Manifest::default()).0];
     assert_eq!(keys.heads, std::slice::from_ref(&pair), "together, whatever else there is");
     assert!(!keys.jobs.contains(&pair[0]) && !keys.jobs.contains(&pair[1]));
     for wanted in [bundle_key("j", "b0"), text_key("j", "a", "s0"), text_key("j", "b", "s0")] {
@@ -185,13 +186,13 @@
 
 #[test]
 fn a_job_that_was_taken_in_twice_keeps_the_requests_of_its_newest_head() {
-    let (mut world, mut spare) = (World::new(), Spare::new(Time(0)));
+    let (mut world, mut spare) = (World::new(), Garbage::new(Time(0)));
     world.list("w", 0);
     world.list("w", 1);
     assert_eq!(world.drop_due(&mut spare, 0).texts, [bundle_key("j", "b0")]);
-    let mut head = (*world.book.jobs["j"].head).clone();
+    let mut head = (*world.book.jobs["j"].manifest).clone();
     head.bundles = ["c0", "c1"].map(|writer| text(&bundle_key("j", writer))).to_vec();
-    world.append(head_record("j", &head));
+    world.append(manifest_record("j", &head));
     assert_eq!(world.drop_due(&mut spare, 1).texts, [bundle_key("j", "c0")]);
     assert!(world.drop_due(&mut spare, 2).is_empty(), "the others are to be run");
 }
--- a/crates/hollywell/tests/tenure.rs
+++ b/crates/hollywell/tests/tenure.rs
@@ -5,7 +5,7 @@
 
 use arbtest::arbtest;
 use hollywell::core::{
-    store_lease::{Claim, Tenure, Terms},
+    store_lease::{Claim, StoreLease, Timing},
     time::Time,
 };
 
@@ -14,12 +14,12 @@
 /// Random bytes of a schedule.
 const SIZE: u64 = 1500;
 
-const TERMS: Terms = Terms { term_ms: 1_800, apart_ms: 3_000 };
+const TERMS: Timing = Timing { term_ms: 1_800, apart_ms: 3_000 };
 const MARGIN_MS: u64 = 600;
 
 struct Instance {
     name: String,
-    tenure: Tenure,
+    tenure: StoreLease,
 }
 
 /// A partition with compare-and-append.
@@ -50,7 +50,7 @@
 }
 
 fn instance(name: &str) -> Instance {
-    Instance { name: name.into(), tenure: Tenure::default() }
+    Instance { name: name.into(), tenure: StoreLease::default() }
 }
 
 fn turn(log: &mut Log, instance: &mut Instance, now: u64, orders: bool) -> bool {
--- a/crates/hollywell/tests/usage.rs
+++ b/crates/hollywell/tests/usage.rs
@@ -9,10 +9,10 @@
 use bytes::Bytes;
 use hollywell::core::{
     time::Time,
-    usage::{Counts, Day, Ledger, Next, Tally, Terms, carried_key, decision, reported},
+    usage::{Counts, Day, Ledger, Next, Schedule, Tally, carried_key, decision, reported},
 };
 
-const TERMS: Terms = Terms { window_ms: 5_000, late_ms: 10_000 };
+const TERMS: Schedule = Schedule { window_ms: 5_000, late_ms: 10_000 };
 
 fn ledger(records: &[(String, Bytes)]) -> Ledger {
     let mut ledger = Ledger::default();
--- a/crates/xtask/src/guards.rs
+++ b/crates/xtask/src/guards.rs
@@ -117,7 +117,7 @@
     Guard {
         name: "inherited claims are kept",
         file: REDUCER_PEERS,
-        find: "for copy in &copies {\n            self.book.keep(copy, self.now);\n        }",
+        find: "for copy in &copies {\n            self.claims.keep(copy, self.now);\n        }",
         replace: "drop(copies);",
         proof: KEYED,
     },
