--- a/crates/bench/benches/step.rs
+++ b/crates/bench/benches/step.rs
@@ -3,7 +3,7 @@
 
 use std::hint::black_box;
 
-use bench::{START, TODAY, answered, beat, call, dispatch_of, echo, loaded, reducer};
+use bench::{START, TODAY, answered, call, dispatch_of, echo, heartbeat, loaded, reducer};
 use criterion::{Criterion, criterion_group, criterion_main};
 use hollywell::prelude::*;
 
@@ -11,7 +11,7 @@
     let mut group = criterion.benchmark_group("step");
     for (name, event) in [
         ("tick", Event::Tick),
-        ("beat", beat(0)),
+        ("beat", heartbeat(0)),
         ("echo", echo(0)),
         ("loaded", loaded(0, TODAY.rows)),
     ] {
--- a/crates/bench/src/bin/capacity.rs
+++ b/crates/bench/src/bin/capacity.rs
@@ -5,8 +5,8 @@
 use std::{alloc::System, collections::VecDeque, fs, hint::black_box, time::Instant};
 
 use bench::{
-    START, Size, TODAY, answered, beat, call, dispatch_of, dispatches_of, echo, loaded, one_edit,
-    reducer, sampled, step,
+    START, Size, TODAY, answered, call, dispatch_of, dispatches_of, echo, heartbeat, loaded,
+    one_edit, reducer, sampled, step,
 };
 use hollywell::{
     core::{claim, event::Message, member::Reading, owner::Handoff},
@@ -205,7 +205,7 @@
             "beat",
             "peers",
             time_line(TODAY.peers, peers, |state, _| {
-                black_box(state.step(START, &beat(0)));
+                black_box(state.step(START, &heartbeat(0)));
             }),
         ),
         (
@@ -252,15 +252,22 @@
         draining: false,
     };
     let beat =
-        Message::Beat { sent: Time(123_456_789), next: 1_234_567, leaving: vec![], demand: 0 };
+        Message::Heartbeat { sent: Time(123_456_789), next: 1_234_567, leaving: vec![], demand: 0 };
     let key = "c7a1f0de-8a4c-4c59-9a39-0d9c11111111";
     let claim = Message::Claim { epoch: 123_456, key: key.into(), digest: u64::MAX };
     let claimed = Message::Claimed { epoch: 123_456, key: key.into() };
     let handoff = |copies: usize| {
         let copy = claim::Copy { key: key.into(), digest: u64::MAX, age_ms: 123_456 };
-        let (history, blind, formerly) = (vec![], vec![], vec![]);
+        let (history, claim_losses, former_ids) = (vec![], vec![], vec![]);
         let copies = vec![copy; copies];
-        Message::Handoff(Handoff { epoch: 1, last_active: None, formerly, history, copies, blind })
+        Message::Handoff(Handoff {
+            epoch: 1,
+            last_active: None,
+            former_ids,
+            history,
+            copies,
+            claim_losses,
+        })
     };
     vec![
         ("beat", coded(&beat)),
--- a/crates/bench/src/bin/measure.rs
+++ b/crates/bench/src/bin/measure.rs
@@ -8,7 +8,7 @@
     figures::{Figures, Row},
     world,
 };
-use hollywell::core::{pace::Way, route::Policy};
+use hollywell::core::{pace::Pacing, route::Policy};
 use plotters::prelude::*;
 
 /// Seeds, the same for every policy.
@@ -18,8 +18,8 @@
     vec![
         Named { name: "baseline", policy: Policy::baseline() },
         Named { name: "current", policy: Policy::default() },
-        Named { name: "bucket", policy: Policy { pace: Way::Bucket, ..Policy::default() } },
-        Named { name: "unpaced", policy: Policy { pace: Way::Unpaced, ..Policy::default() } },
+        Named { name: "bucket", policy: Policy { pace: Pacing::Bucket, ..Policy::default() } },
+        Named { name: "unpaced", policy: Policy { pace: Pacing::Unpaced, ..Policy::default() } },
     ]
 }
 
--- a/crates/bench/src/lib.rs
+++ b/crates/bench/src/lib.rs
@@ -122,8 +122,8 @@
 
 /// A heartbeat of a peer.
 #[must_use]
-pub fn beat(peer: usize) -> Event {
-    let message = Message::Beat { sent: START, next: 3, leaving: vec![], demand: 0 };
+pub fn heartbeat(peer: usize) -> Event {
+    let message = Message::Heartbeat { sent: START, next: 3, leaving: vec![], demand: 0 };
     Event::Peer { from: Instance::new(&format!("peer-{peer}"), 1), message }
 }
 
--- a/crates/hollywell/src/core/batch/garbage.rs
+++ b/crates/hollywell/src/core/batch/garbage.rs
@@ -6,7 +6,7 @@
 //! | record | needed until |
 //! |---|---|
 //! | requests of a group | all its samples are listed, or the job is ended |
-//! | unfinished text, and the note of it | the sample is listed; after the job's end for [`CARRY_MS`] more, as a later step may go on with it |
+//! | unfinished text, and the note of it | the sample is listed; after the job's end for [`RESUME_MS`] more, as a later step may go on with it |
 //! | a result that came second, and its text | never |
 //! | all else | the job is ended, and was submitted [`Retention::status_ms`] ago |
 //!
@@ -19,9 +19,9 @@
 use crate::core::time::Time;
 
 /// How long unfinished texts outlive their job's end, in milliseconds:
-/// trainers ask again within seconds or not at all, and what is gone by then
+/// trainers ask again within duplicates or not at all, and what is gone by then
 /// is generated anew.
-const CARRY_MS: u64 = 15_000;
+const RESUME_MS: u64 = 15_000;
 
 /// What was promised.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -83,7 +83,7 @@
     /// Bundles whose requests were dropped.
     requests: Vec<bool>,
     /// How many of the results that came second were dropped.
-    seconds: usize,
+    duplicates: usize,
 }
 
 impl Garbage {
@@ -94,18 +94,18 @@
     }
 
     /// Notes what is to be seen of a job now.
-    pub fn look(&mut self, job: &Job, now: Time) {
+    pub fn observe(&mut self, job: &Job, now: Time) {
         if job.ended {
             self.ended_at.get_or_insert(now);
         }
     }
 
-    /// Whether nothing of a job is needed any more. `wall_ms` is the time of
+    /// Whether nothing of a job is needed any more. `unix_ms` is the time of
     /// day; whoever saw the job's submission needs none, and others allow for
     /// clocks that are apart.
     #[must_use]
-    pub fn is_over(&self, job: &Job, now: Time, wall_ms: u64, terms: Retention) -> bool {
-        let told_ms = wall_ms.saturating_sub(job.manifest.at_ms);
+    pub fn is_over(&self, job: &Job, now: Time, unix_ms: u64, terms: Retention) -> bool {
+        let told_ms = unix_ms.saturating_sub(job.manifest.at_ms);
         let by_clock = told_ms > terms.status_ms.saturating_add(MAX_CLOCK_SKEW_MS);
         let by_sight = now.since(self.since) > terms.status_ms;
         job.ended && (by_clock || by_sight)
@@ -116,17 +116,17 @@
     #[must_use]
     pub fn next(&self, id: &str, job: &Job, now: Time) -> (Keys, Garbage) {
         let (mut keys, mut after) = (Keys::default(), self.clone());
-        after.take_requests(job, &mut keys);
-        self.take_unfinished(id, job, now, &mut keys);
-        for (key, text) in job.seconds.iter().skip(self.seconds) {
+        after.collect_bundles(job, &mut keys);
+        self.collect_partials(id, job, now, &mut keys);
+        for (key, text) in job.duplicates.iter().skip(self.duplicates) {
             keys.jobs.push(key.clone());
             keys.texts.extend(text.clone());
         }
-        after.seconds = job.seconds.len();
+        after.duplicates = job.duplicates.len();
         (keys, after)
     }
 
-    fn take_requests(&mut self, job: &Job, keys: &mut Keys) {
+    fn collect_bundles(&mut self, job: &Job, keys: &mut Keys) {
         if self.head != job.offset {
             self.head = job.offset;
             self.requests.clear();
@@ -140,12 +140,14 @@
         }
     }
 
-    /// The note goes after the pieces, and tells everybody that they went.
-    fn take_unfinished(&self, id: &str, job: &Job, now: Time, keys: &mut Keys) {
-        let old = self.ended_at.is_some_and(|at| now.since(at) > CARRY_MS);
-        for (at, pieces) in job.pieces.iter().filter(|(at, _)| old || job.done[**at]) {
+    /// The note goes after the partial_text_keys, and tells everybody that they went.
+    fn collect_partials(&self, id: &str, job: &Job, now: Time, keys: &mut Keys) {
+        let old = self.ended_at.is_some_and(|at| now.since(at) > RESUME_MS);
+        for (at, partial_text_keys) in
+            job.partial_text_keys.iter().filter(|(at, _)| old || job.done[**at])
+        {
             keys.jobs.push(partial_key(id, &job.manifest.samples[*at].id));
-            keys.texts.extend(pieces.iter().cloned());
+            keys.texts.extend(partial_text_keys.iter().cloned());
         }
     }
 }
@@ -157,16 +159,16 @@
     pub fn keys(&self, id: &str) -> Keys {
         let mut keys = Keys::default();
         keys.texts.extend(self.manifest.bundles.iter().map(|bundle| bundle.key.clone()));
-        for (at, pieces) in &self.pieces {
+        for (at, partial_text_keys) in &self.partial_text_keys {
             keys.jobs.push(partial_key(id, &self.manifest.samples[*at].id));
-            keys.texts.extend(pieces.iter().cloned());
+            keys.texts.extend(partial_text_keys.iter().cloned());
         }
         for listed in &self.results {
             keys.jobs.push(listed.key.clone());
             let outcome = Outcome::decode(listed.value.clone()).ok();
             keys.texts.extend(outcome.and_then(|outcome| outcome.text).map(|text| text.key));
         }
-        for (key, text) in &self.seconds {
+        for (key, text) in &self.duplicates {
             keys.jobs.push(key.clone());
             keys.texts.extend(text.clone());
         }
--- a/crates/hollywell/src/core/batch/index.rs
+++ b/crates/hollywell/src/core/batch/index.rs
@@ -10,7 +10,7 @@
 use prost::Message as _;
 
 use super::{
-    Manifest, Outcome, Partial, Record, SEPARATOR, TextRef, manifest_record, partial_texts,
+    Manifest, Outcome, Partial, Record, SEPARATOR, TextRef, manifest_record, partial_text_prefix,
 };
 use crate::core::room::{LIVE_OVERHEAD, LOG_OVERHEAD};
 
@@ -37,17 +37,17 @@
     /// Results in their order.
     pub results: Vec<ResultRecord>,
     /// How many samples of each group are not listed.
-    unlisted: HashMap<String, usize>,
+    incomplete: HashMap<String, usize>,
     /// How many results there were each time that a group became whole.
-    whole_at: Vec<usize>,
+    complete_groups_at: Vec<usize>,
     /// Newest [`Partial`] of samples that are not listed. They outlive the
     /// job's end for a while: a later step may ask for the same samples.
     pub partials: HashMap<usize, Partial>,
-    /// Keys of all pieces of unfinished texts that were not dropped, by
+    /// Keys of all partial_text_keys of unfinished texts that were not dropped, by
     /// sample.
-    pub(super) pieces: BTreeMap<usize, Vec<String>>,
+    pub(super) partial_text_keys: BTreeMap<usize, Vec<String>>,
     /// Keys of results that came second, and of their texts.
-    pub(super) seconds: Vec<(String, Option<String>)>,
+    pub(super) duplicates: Vec<(String, Option<String>)>,
     /// It was ended by its trainer.
     pub ended: bool,
     /// Offset of its newest head.
@@ -149,7 +149,7 @@
                 return Ok(if known { vec![Change::Deleted(job.to_owned())] } else { vec![] });
             }
             if kind == "p" {
-                self.no_partial(job, parts.next().unwrap_or_default());
+                self.delete_partial(job, parts.next().unwrap_or_default());
             }
             if let Some(waiting) = self.waiting.get_mut(job) {
                 waiting.retain(|other| other.key != record.key);
@@ -180,7 +180,7 @@
                     self.written.text(text);
                 }
                 if std::mem::replace(&mut entry.done[index], true) {
-                    entry.second(&record.key, outcome);
+                    entry.record_duplicate(&record.key, outcome);
                     return Ok(vec![]);
                 }
                 entry.partials.remove(&index);
@@ -201,7 +201,7 @@
                 if let Some(newest) = partial.texts.last() {
                     self.written.text(newest);
                 }
-                entry.note(job, index, &partial);
+                entry.record_partial(job, index, &partial);
                 if entry.done[index] || entry.ended {
                     return Ok(vec![]);
                 }
@@ -213,12 +213,12 @@
     }
 
     /// Notes that a sample's unfinished text was dropped.
-    fn no_partial(&mut self, job: &str, sample: &str) {
+    fn delete_partial(&mut self, job: &str, sample: &str) {
         let Some(job) = self.jobs.get_mut(job) else {
             return;
         };
         if let Some(index) = job.index.get(sample) {
-            job.pieces.remove(index);
+            job.partial_text_keys.remove(index);
             job.partials.remove(index);
         }
     }
@@ -255,20 +255,20 @@
         let index: HashMap<String, usize> =
             head.samples.iter().enumerate().map(|(at, s)| (s.id.clone(), at)).collect();
         let done = vec![false; head.samples.len()];
-        let mut unlisted = HashMap::new();
+        let mut incomplete = HashMap::new();
         for sample in &head.samples {
-            *unlisted.entry(sample.group.clone()).or_insert(0) += 1;
+            *incomplete.entry(sample.group.clone()).or_insert(0) += 1;
         }
         let entry = Job {
             manifest: Rc::new(head),
             index,
             done,
             results: vec![],
-            unlisted,
-            whole_at: vec![],
+            incomplete,
+            complete_groups_at: vec![],
             partials: HashMap::new(),
-            pieces: BTreeMap::new(),
-            seconds: vec![],
+            partial_text_keys: BTreeMap::new(),
+            duplicates: vec![],
             ended: false,
             offset: record.offset,
             live: value.len() as u64 + LIVE_OVERHEAD,
@@ -331,29 +331,29 @@
         open.map(|(sample, _)| u64::from(sample.tokens)).sum()
     }
 
-    /// Remembers the pieces of an unfinished text, for when they are to be
-    /// dropped. Two instances that run one sample keep pieces of their own.
-    fn note(&mut self, id: &str, index: usize, partial: &Partial) {
-        let pieces = self.pieces.entry(index).or_default();
-        let own = partial_texts(id);
+    /// Remembers the partial_text_keys of an unfinished text, for when they are to be
+    /// dropped. Two instances that run one sample keep partial_text_keys of their own.
+    fn record_partial(&mut self, id: &str, index: usize, partial: &Partial) {
+        let partial_text_keys = self.partial_text_keys.entry(index).or_default();
+        let own = partial_text_prefix(id);
         for text in partial.texts.iter().filter(|text| text.key.starts_with(&own)) {
-            if !pieces.contains(&text.key) {
-                pieces.push(text.key.clone());
+            if !partial_text_keys.contains(&text.key) {
+                partial_text_keys.push(text.key.clone());
             }
         }
     }
 
     /// Notes a result that came second; the same record may come again.
-    fn second(&mut self, key: &str, outcome: Outcome) {
+    fn record_duplicate(&mut self, key: &str, outcome: Outcome) {
         let first = self.results.iter().any(|listed| listed.key == key);
-        if first || self.seconds.iter().any(|(other, _)| other == key) {
+        if first || self.duplicates.iter().any(|(other, _)| other == key) {
             return;
         }
         // A result that was appended again, since the answer to its append
         // was lost, names the same text.
         let named = self.text_of(&outcome.id);
         let text = outcome.text.map(|text| text.key).filter(|text| named.as_ref() != Some(text));
-        self.seconds.push((key.to_owned(), text));
+        self.duplicates.push((key.to_owned(), text));
     }
 
     /// The key of a listed sample's text.
@@ -367,7 +367,7 @@
     /// of its own.
     fn count(&mut self, index: usize) {
         let group = &self.manifest.samples[index].group;
-        let whole = match self.unlisted.get_mut(group) {
+        let whole = match self.incomplete.get_mut(group) {
             Some(left) if !group.is_empty() => {
                 *left = left.saturating_sub(1);
                 *left == 0
@@ -375,7 +375,7 @@
             _ => true,
         };
         if whole {
-            self.whole_at.push(self.results.len());
+            self.complete_groups_at.push(self.results.len());
         }
     }
 
@@ -385,19 +385,19 @@
     /// that is to come.
     #[must_use]
     pub fn is_worth_answering(&self, after: usize) -> bool {
-        let whole = self.whole_at.len();
-        let before = self.whole_at.partition_point(|len| *len <= after);
+        let whole = self.complete_groups_at.len();
+        let before = self.complete_groups_at.partition_point(|len| *len <= after);
         let wanted = match usize::try_from(self.manifest.groups_wanted).unwrap_or(usize::MAX) {
-            0 => self.unlisted.len(),
+            0 => self.incomplete.len(),
             wanted => wanted,
         };
         let missing = wanted.saturating_sub(before).max(1);
-        self.is_whole() || whole - before >= missing.div_ceil(2)
+        self.is_complete() || whole - before >= missing.div_ceil(2)
     }
 
     /// Whether every sample is listed.
     #[must_use]
-    pub fn is_whole(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         self.results.len() == self.done.len()
     }
 }
--- a/crates/hollywell/src/core/batch/mod.rs
+++ b/crates/hollywell/src/core/batch/mod.rs
@@ -119,7 +119,7 @@
 /// Texts have a topic of their own and are written before the result that
 /// names them: every instance folds all results, and reads a text only when
 /// a caller of its own asks for it. With the texts in the results an
-/// instance that started read the texts of all jobs, four seconds' worth.
+/// instance that started read the texts of all jobs, four duplicates' worth.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct TextRef {
     /// The partition of texts: the one with the job's number, or, for a text
@@ -169,7 +169,7 @@
     pub id: String,
     /// It was given up; else its text is whole and scored.
     #[prost(bool, tag = "2")]
-    pub dead: bool,
+    pub abandoned: bool,
     /// Where its text lies; none where it was given up.
     #[prost(message, optional, tag = "3")]
     pub text: Option<TextRef>,
@@ -240,7 +240,7 @@
 }
 
 /// How far the times of day of two machines may be apart, in milliseconds:
-/// they differ by little, but may jump by seconds and back.
+/// they differ by little, but may jump by duplicates and back.
 pub const MAX_CLOCK_SKEW_MS: u64 = 10_000;
 
 /// How long from now a job's samples must not be given up yet, in
@@ -264,15 +264,15 @@
 }
 
 /// Cuts a submission into bundles of one group each, smaller than
-/// `most_bytes` where one sample is; the head says where each sample went.
+/// `max_bytes` where one sample is; the head says where each sample went.
 #[must_use]
-pub fn bundle(submission: &Submission, most_bytes: usize) -> (Vec<SampleMeta>, Vec<Bundle>) {
+pub fn bundle(submission: &Submission, max_bytes: usize) -> (Vec<SampleMeta>, Vec<Bundle>) {
     let mut bundles: Vec<Bundle> = Vec::new();
     let mut open: HashMap<&str, (usize, usize)> = HashMap::new();
     let mut briefs = Vec::new();
     for sample in &submission.samples {
         let bytes = sample.encoded_len() + SAMPLE_OVERHEAD;
-        let fits = open.get(sample.group.as_str()).filter(|(_, used)| used + bytes <= most_bytes);
+        let fits = open.get(sample.group.as_str()).filter(|(_, used)| used + bytes <= max_bytes);
         let (bundle, used) = fits.copied().unwrap_or_else(|| {
             bundles.push(Bundle::default());
             (bundles.len() - 1, 0)
@@ -309,12 +309,12 @@
 const SEPARATOR: char = '|';
 
 /// Longest id that leaves room for the rest of a key.
-pub const MAX_ID: usize = 100;
+pub const MAX_ID_LEN: usize = 100;
 
 /// Says whether an id can be part of a key.
 #[must_use]
 pub fn is_id(id: &str) -> bool {
-    !id.is_empty() && id.len() <= MAX_ID && !id.contains(SEPARATOR)
+    !id.is_empty() && id.len() <= MAX_ID_LEN && !id.contains(SEPARATOR)
 }
 
 /// What all keys of a job begin with, and nothing else; it sorts before them.
@@ -359,7 +359,7 @@
     /// Number of the last event in the text.
     #[prost(uint64, tag = "1")]
     pub last: u64,
-    /// Where the data of all events so far lies: pieces that follow each
+    /// Where the data of all events so far lies: partial_text_keys that follow each
     /// other. Each was stored once; with the whole text stored anew each time
     /// that it had grown, this was more than half of all that was stored.
     #[prost(message, repeated, tag = "2")]
@@ -374,7 +374,7 @@
     /// the same sample.
     #[must_use]
     pub fn belongs_to(&self, job: &str) -> bool {
-        let own = partial_texts(job);
+        let own = partial_text_prefix(job);
         self.texts.iter().all(|text| text.key.starts_with(&own))
     }
 
@@ -388,11 +388,11 @@
 /// The key of a piece of an unfinished text. `writer` tells appends apart.
 #[must_use]
 pub fn partial_text_key(job: &str, writer: &str, sample: &str) -> String {
-    format!("{}{writer}{SEPARATOR}{sample}", partial_texts(job))
+    format!("{}{writer}{SEPARATOR}{sample}", partial_text_prefix(job))
 }
 
-/// What the keys of all pieces of a job's unfinished texts begin with.
-fn partial_texts(job: &str) -> String {
+/// What the keys of all partial_text_keys of a job's unfinished texts begin with.
+fn partial_text_prefix(job: &str) -> String {
     format!("{job}{SEPARATOR}q{SEPARATOR}")
 }
 
--- a/crates/hollywell/src/core/claim.rs
+++ b/crates/hollywell/src/core/claim.rs
@@ -2,7 +2,7 @@
 //! one, is answered from memory, or is refused.
 //!
 //! A [`Claims`] is what one instance knows about keys. It holds claims of three
-//! origins: made here as owner, copied here as deputy, inherited at a change
+//! origins: made here as owner, copied here as replica, inherited at a change
 //! of ownership. It leaves out who the owner is (see [`crate::core::owner`])
 //! and the answers' bytes, which stay with the traffic side under the
 //! dispatch that produced them.
@@ -20,8 +20,9 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Phase {
-    /// Made here; the deputy has not confirmed its copy yet.
-    Asking,
+    /// Made here; the replica has not confirmed its copy yet.
+    #[serde(rename = "asking")]
+    Replicating,
     /// Dispatched to a target; the answer is awaited.
     Running(Dispatch),
     /// A whole answer came back and is kept under this dispatch.
@@ -109,7 +110,7 @@
             return Verdict::Mismatch;
         }
         match claim.phase {
-            Phase::Asking | Phase::Running(_) => {
+            Phase::Replicating | Phase::Running(_) => {
                 claim.waiters.push(request);
                 Verdict::Joined
             }
@@ -122,7 +123,7 @@
 
     /// Claims a key for a request, before its copy is confirmed.
     pub fn claim(&mut self, key: &str, digest: u64, now: Time, request: Request) {
-        let claim = Claim { digest, phase: Phase::Asking, at: now, waiters: vec![request] };
+        let claim = Claim { digest, phase: Phase::Replicating, at: now, waiters: vec![request] };
         self.claims.insert(key.to_owned(), claim);
     }
 
@@ -143,7 +144,7 @@
         let Some(claim) = self.claims.get_mut(key) else {
             return vec![];
         };
-        let finished = !matches!(phase, Phase::Asking | Phase::Running(_));
+        let finished = !matches!(phase, Phase::Replicating | Phase::Running(_));
         claim.phase = phase;
         claim.at = now;
         if finished { std::mem::take(&mut claim.waiters) } else { vec![] }
@@ -169,7 +170,7 @@
     #[must_use]
     pub fn copies(&self, now: Time) -> Vec<Copy> {
         let may_have_run =
-            |claim: &Claim| !matches!(claim.phase, Phase::Refused(_) | Phase::Asking);
+            |claim: &Claim| !matches!(claim.phase, Phase::Refused(_) | Phase::Replicating);
         self.claims
             .iter()
             .filter(|(_, claim)| may_have_run(claim))
@@ -187,7 +188,7 @@
         let keys: Vec<String> = self
             .claims
             .iter()
-            .filter(|(_, claim)| claim.phase == Phase::Asking)
+            .filter(|(_, claim)| claim.phase == Phase::Replicating)
             .map(|(key, _)| key.clone())
             .collect();
         keys.into_iter()
@@ -200,7 +201,7 @@
     pub fn expire(&mut self, now: Time, horizon_ms: u64) -> Vec<Dispatch> {
         let mut forgotten = vec![];
         self.claims.retain(|_, claim| {
-            let live = matches!(claim.phase, Phase::Asking | Phase::Running(_));
+            let live = matches!(claim.phase, Phase::Replicating | Phase::Running(_));
             let keep = live || now.since(claim.at) < horizon_ms;
             if let (false, Phase::Done(dispatch)) = (keep, &claim.phase) {
                 forgotten.push(*dispatch);
--- a/crates/hollywell/src/core/event.rs
+++ b/crates/hollywell/src/core/event.rs
@@ -79,7 +79,8 @@
 #[serde(rename_all = "snake_case")]
 pub enum Message {
     /// A heartbeat, answered with an [`Message::Echo`].
-    Beat {
+    #[serde(rename = "beat")]
+    Heartbeat {
         /// The sender's clock.
         sent: Time,
         /// The sender's folded offset.
@@ -103,7 +104,7 @@
         /// True if it is stopping.
         draining: bool,
     },
-    /// An owner asks its deputy to keep a copy of a claim.
+    /// An owner asks its replica to keep a copy of a claim.
     Claim {
         /// The epoch of the claim.
         epoch: u64,
@@ -112,7 +113,7 @@
         /// Hash of the request.
         digest: u64,
     },
-    /// The deputy has the copy.
+    /// The replica has the copy.
     Claimed {
         /// The epoch of the claim.
         epoch: u64,
--- a/crates/hollywell/src/core/member.rs
+++ b/crates/hollywell/src/core/member.rs
@@ -123,7 +123,7 @@
     /// The run that last answered.
     pub instance: Option<Instance>,
     /// When its last answer came.
-    pub heard_at: Option<Time>,
+    pub last_seen_at: Option<Time>,
     /// True if it said that it is stopping.
     pub draining: bool,
     /// Its folded offset, as it last said.
@@ -136,7 +136,7 @@
     /// Its clock as last heard, and when that was.
     clock: Option<(Time, Time)>,
     /// When it was last sent a heartbeat.
-    pub beaten_at: Option<Time>,
+    pub heartbeat_sent_at: Option<Time>,
 }
 
 impl Peer {
@@ -144,18 +144,18 @@
         Peer {
             listed,
             instance: None,
-            heard_at: None,
+            last_seen_at: None,
             draining: false,
             next: 0,
             demand: 0,
             readings: VecDeque::new(),
             clock: None,
-            beaten_at: None,
+            heartbeat_sent_at: None,
         }
     }
 
     /// Notes a reading of an active owner, heard at `now`.
-    pub fn note_reading(&mut self, reading: &Reading, now: Time) {
+    pub fn record_reading(&mut self, reading: &Reading, now: Time) {
         self.clock = Some((reading.clock, now));
         let told = |(known, _): &(Reading, Time)| {
             known.from == reading.from
@@ -180,7 +180,7 @@
     /// How many refusals of `owner` in `epoch` had been heard of before
     /// `arrived`; zero if none was.
     #[must_use]
-    pub fn heard_before(&self, arrived: Time, owner: &Instance, epoch: u64) -> u64 {
+    pub fn refusals_before(&self, arrived: Time, owner: &Instance, epoch: u64) -> u64 {
         let before = |(reading, at): &&(Reading, Time)| {
             reading.from == *owner && reading.epoch == epoch && *at < arrived
         };
@@ -197,7 +197,7 @@
     /// True if it answered within the last `window_ms` milliseconds.
     #[must_use]
     pub fn is_live(&self, now: Time, window_ms: u64) -> bool {
-        self.heard_at.is_some_and(|at| now.since(at) < window_ms)
+        self.last_seen_at.is_some_and(|at| now.since(at) < window_ms)
     }
 }
 
--- a/crates/hollywell/src/core/organisation.rs
+++ b/crates/hollywell/src/core/organisation.rs
@@ -16,7 +16,7 @@
 /// The scheme that callers name before their key (RFC 6750, section 2.1).
 const SCHEME: &str = "Bearer";
 /// Longest header that is looked at, in bytes; keys have a few dozen.
-const MOST_BYTES: usize = 4_096;
+const MAX_HEADER_BYTES: usize = 4_096;
 
 /// An organisation.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -134,7 +134,7 @@
 
 /// The key in a header's value.
 fn key(value: &[u8]) -> Option<&str> {
-    if value.len() > MOST_BYTES {
+    if value.len() > MAX_HEADER_BYTES {
         return None;
     }
     let (scheme, key) = std::str::from_utf8(value).ok()?.trim().split_once(' ')?;
--- a/crates/hollywell/src/core/owner/handoff.rs
+++ b/crates/hollywell/src/core/owner/handoff.rs
@@ -15,14 +15,15 @@
     /// The last epoch in which it was active, if any.
     pub last_active: Option<u64>,
     /// Incarnations under which the sender was removed earlier in its run.
-    #[serde(default)]
-    pub formerly: Vec<Instance>,
+    #[serde(default, rename = "formerly")]
+    pub former_ids: Vec<Instance>,
     /// Replaced maps that it remembers, oldest first.
     pub history: Vec<ReplacedCopy>,
     /// Keys that may have run.
     pub copies: Vec<Copy>,
     /// Keys of which it knows that nobody knows.
-    pub blind: Vec<BlindCopy>,
+    #[serde(rename = "blind")]
+    pub claim_losses: Vec<ClaimLossCopy>,
 }
 
 /// A map that was replaced.
@@ -42,13 +43,13 @@
     pub ago_ms: u64,
 }
 
-/// Keys whose claims were lost with their owner and deputy.
+/// Keys whose claims were lost with their owner and replica.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(super) struct Blind {
+pub(super) struct ClaimLoss {
     /// The map in which the claims may have been made.
     pub(super) map: Map,
     /// The members that handed over.
-    pub(super) heirs: BTreeSet<Instance>,
+    pub(super) sources: BTreeSet<Instance>,
     /// When no caller sends those keys any longer.
     pub(super) until: Time,
 }
@@ -59,23 +60,24 @@
     }
 }
 
-impl Blind {
-    pub(super) fn copy(&self, now: Time) -> BlindCopy {
-        BlindCopy {
+impl ClaimLoss {
+    pub(super) fn copy(&self, now: Time) -> ClaimLossCopy {
+        ClaimLossCopy {
             map: self.map.clone(),
-            heirs: self.heirs.clone(),
+            sources: self.sources.clone(),
             left_ms: self.until.since(now),
         }
     }
 }
 
-/// [`Blind`] as handed from one instance to another.
+/// [`ClaimLoss`] as handed from one instance to another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct BlindCopy {
+pub struct ClaimLossCopy {
     /// The map in which the claims may have been made.
     pub map: Map,
     /// The members that handed over.
-    pub heirs: BTreeSet<Instance>,
+    #[serde(rename = "heirs")]
+    pub sources: BTreeSet<Instance>,
     /// Milliseconds until no caller sends those keys any longer.
     pub left_ms: u64,
 }
--- a/crates/hollywell/src/core/owner/map.rs
+++ b/crates/hollywell/src/core/owner/map.rs
@@ -29,8 +29,8 @@
     /// The member that keeps a copy of the owner's claim on `key`; `None`
     /// where the map has fewer than two members.
     #[must_use]
-    pub fn deputy(&self, key: &str) -> Option<&Instance> {
-        self.ranked(key).and_then(|(_, deputy)| deputy)
+    pub fn replica(&self, key: &str) -> Option<&Instance> {
+        self.ranked(key).and_then(|(_, replica)| replica)
     }
 
     fn ranked(&self, key: &str) -> Option<(&Instance, Option<&Instance>)> {
@@ -47,13 +47,13 @@
                 second = Some((score, member));
             }
         }
-        best.map(|(_, owner)| (owner, second.map(|(_, deputy)| deputy)))
+        best.map(|(_, owner)| (owner, second.map(|(_, replica)| replica)))
     }
 
-    /// True if one of `heirs` knows every claim on `key` made in this map.
-    pub(super) fn covers(&self, key: &str, heirs: &BTreeSet<Instance>) -> bool {
-        self.ranked(key).is_some_and(|(owner, deputy)| {
-            heirs.contains(owner) || deputy.is_some_and(|deputy| heirs.contains(deputy))
+    /// True if one of `sources` knows every claim on `key` made in this map.
+    pub(super) fn covers(&self, key: &str, sources: &BTreeSet<Instance>) -> bool {
+        self.ranked(key).is_some_and(|(owner, replica)| {
+            sources.contains(owner) || replica.is_some_and(|replica| sources.contains(replica))
         })
     }
 }
--- a/crates/hollywell/src/core/owner/mod.rs
+++ b/crates/hollywell/src/core/owner/mod.rs
@@ -21,7 +21,7 @@
 //! must have run out. For an earlier map of
 //! which no member stays it waits until `log_away_ms` after it read that the
 //! map was replaced. Keys of which nobody left knows anything
-//! are answered "unknown" for the callers' retry horizon ([`BlindCopy`]).
+//! are answered "unknown" for the callers' retry horizon ([`ClaimLossCopy`]).
 //!
 //! What it leaves out: the claims themselves ([`crate::core::claim`]), and
 //! when to propose a new map (the reducer does, from membership).
@@ -34,8 +34,8 @@
 use serde::{Deserialize, Serialize};
 
 use crate::core::{claim::Copy, id::Instance, time::Time};
-use handoff::{Blind, Replaced};
-pub use handoff::{BlindCopy, Handoff, ReplacedCopy};
+use handoff::{ClaimLoss, Replaced};
+pub use handoff::{ClaimLossCopy, Handoff, ReplacedCopy};
 pub use map::{Map, Maps, Proposal};
 
 /// How many replaced maps are remembered.
@@ -66,7 +66,7 @@
 #[derive(Clone, Debug)]
 pub struct State {
     config: Config,
-    me: Instance,
+    local: Instance,
     map: Map,
     read_at: Time,
     given: Option<Handoff>,
@@ -76,9 +76,9 @@
     last_active: Option<u64>,
     /// Incarnations under which this run was removed. What they knew it
     /// knows still.
-    former: Vec<Instance>,
-    heard: BTreeMap<Instance, (Handoff, Time)>,
-    blind: Vec<Blind>,
+    former_ids: Vec<Instance>,
+    received: BTreeMap<Instance, (Handoff, Time)>,
+    claim_losses: Vec<ClaimLoss>,
     log_confirmed: Option<Time>,
     promises: BTreeMap<Instance, Time>,
 }
@@ -86,10 +86,10 @@
 impl State {
     /// An instance that has read no map yet.
     #[must_use]
-    pub fn new(me: Instance, config: Config) -> State {
+    pub fn new(local: Instance, config: Config) -> State {
         State {
             config,
-            me,
+            local,
             map: Map::default(),
             read_at: Time(0),
             given: None,
@@ -97,9 +97,9 @@
             history: vec![],
             active: false,
             last_active: None,
-            former: vec![],
-            heard: BTreeMap::new(),
-            blind: vec![],
+            former_ids: vec![],
+            received: BTreeMap::new(),
+            claim_losses: vec![],
             log_confirmed: None,
             promises: BTreeMap::new(),
         }
@@ -113,8 +113,8 @@
 
     /// This instance, with the incarnation under which it takes part.
     #[must_use]
-    pub fn me(&self) -> &Instance {
-        &self.me
+    pub fn local(&self) -> &Instance {
+        &self.local
     }
 
     /// True if this instance may make and copy claims in the map's epoch,
@@ -127,7 +127,7 @@
     /// True if this instance has a place in the newest map.
     #[must_use]
     pub fn is_member(&self) -> bool {
-        self.map.members.contains(&self.me)
+        self.map.members.contains(&self.local)
     }
 
     /// Takes a newer map: the instance stops acting until it is active again.
@@ -153,18 +153,18 @@
         self.read_at = now;
         self.active = false;
         self.promises.clear();
-        self.heard.retain(|_, (handoff, _)| handoff.epoch >= map.epoch);
+        self.received.retain(|_, (handoff, _)| handoff.epoch >= map.epoch);
         self.given = None;
         true
     }
 
     /// Moves to a higher incarnation after a removal. Returns true if it did.
     pub fn rejoin(&mut self) -> bool {
-        let removed =
-            !self.is_member() && self.history.iter().any(|old| old.map.members.contains(&self.me));
+        let removed = !self.is_member()
+            && self.history.iter().any(|old| old.map.members.contains(&self.local));
         if removed {
-            self.former.push(self.me.clone());
-            self.me.incarnation += 1;
+            self.former_ids.push(self.local.clone());
+            self.local.incarnation += 1;
         }
         removed
     }
@@ -175,28 +175,28 @@
     /// repeated until every member has it: claims made in the new epoch are
     /// no member's to inherit, and the last active epoch must not move.
     pub fn handoff(&mut self, copies: impl FnOnce() -> Vec<Copy>, now: Time) -> &Handoff {
-        let blind = &self.blind;
+        let losses = &self.claim_losses;
         let epoch = self.map.epoch;
         let last_active = self.last_active;
         let history = &self.history;
-        let former = &self.former;
+        let former = &self.former_ids;
         self.given.get_or_insert_with(|| Handoff {
             epoch,
             last_active,
-            formerly: former.clone(),
+            former_ids: former.clone(),
             history: history.iter().map(|old| old.copy(now)).collect(),
             copies: copies(),
-            blind: blind.iter().map(|blind| blind.copy(now)).collect(),
+            claim_losses: losses.iter().map(|loss| loss.copy(now)).collect(),
         })
     }
 
     /// Notes a hand-over heard from `from`, for this epoch or a later one.
-    pub fn hear(&mut self, from: &Instance, handoff: &Handoff, now: Time) {
-        let known = self.heard.get(from).map(|(known, _)| known.epoch);
+    pub fn receive(&mut self, from: &Instance, handoff: &Handoff, now: Time) {
+        let known = self.received.get(from).map(|(known, _)| known.epoch);
         let wanted =
             handoff.epoch > self.map.epoch || handoff.epoch == self.map.epoch && !self.active;
         if wanted && known < Some(handoff.epoch) {
-            self.heard.insert(from.clone(), (handoff.clone(), now));
+            self.received.insert(from.clone(), (handoff.clone(), now));
         }
     }
 
@@ -208,45 +208,45 @@
             return None;
         }
         let unknown = self.lost_maps(now);
-        let heirs = self.heirs();
+        let sources = self.sources();
         let epoch = self.map.epoch;
         let of_epoch = |_: &Instance, (handoff, _): &mut (Handoff, Time)| handoff.epoch == epoch;
-        let heard: BTreeMap<_, _> = self.heard.extract_if(.., of_epoch).collect();
+        let heard: BTreeMap<_, _> = self.received.extract_if(.., of_epoch).collect();
         for (map, until) in unknown {
-            self.blind.push(Blind { map, heirs: heirs.clone(), until });
+            self.claim_losses.push(ClaimLoss { map, sources: sources.clone(), until });
         }
         let mut copies = vec![];
         for (handoff, _) in heard.into_values() {
             copies.extend(handoff.copies);
-            for blind in handoff.blind {
-                let until = now.after(blind.left_ms);
-                self.blind.push(Blind { map: blind.map, heirs: blind.heirs, until });
+            for loss in handoff.claim_losses {
+                let until = now.after(loss.left_ms);
+                self.claim_losses.push(ClaimLoss { map: loss.map, sources: loss.sources, until });
             }
         }
-        self.blind.retain(|blind| blind.until > now);
+        self.claim_losses.retain(|loss| loss.until > now);
         self.active = true;
         self.last_active = Some(self.map.epoch);
         Some(copies)
     }
 
     /// Members whose hand-over this instance has, itself included.
-    fn heirs(&self) -> BTreeSet<Instance> {
+    fn sources(&self) -> BTreeSet<Instance> {
         let current = |(handoff, _): &(Handoff, Time)| handoff.epoch == self.map.epoch;
-        let heard = self.heard.iter().filter(|(_, heard)| current(heard));
-        let mut heirs: BTreeSet<Instance> = self.former.iter().cloned().collect();
-        heirs.insert(self.me.clone());
+        let heard = self.received.iter().filter(|(_, heard)| current(heard));
+        let mut sources: BTreeSet<Instance> = self.former_ids.iter().cloned().collect();
+        sources.insert(self.local.clone());
         for (from, (handoff, _)) in heard {
-            heirs.insert(from.clone());
-            heirs.extend(handoff.formerly.iter().cloned());
+            sources.insert(from.clone());
+            sources.extend(handoff.former_ids.iter().cloned());
         }
-        heirs
+        sources
     }
 
     /// Hand-overs for the current epoch. One for a later epoch may have come
     /// already; nothing may be concluded from it before its map is read,
     /// because its claims are taken only then.
     fn handoffs(&self) -> impl Iterator<Item = &(Handoff, Time)> {
-        self.heard.values().filter(|(handoff, _)| handoff.epoch == self.map.epoch)
+        self.received.values().filter(|(handoff, _)| handoff.epoch == self.map.epoch)
     }
 
     /// The last epoch known to have been acted in, by anyone heard.
@@ -281,17 +281,17 @@
     /// Maps in which claims may have been made that nobody handed over, with
     /// the time until which callers may send their keys.
     fn lost_maps(&self, now: Time) -> Vec<(Map, Time)> {
-        let heirs = self.heirs();
+        let sources = self.sources();
         let horizon_ms = self.config.horizon_ms;
         let until = |old: &Replaced| {
             // Where no member has handed over, they may promise to each other
             // and go on making claims for as long as the log may be away.
-            let is_fenced = !old.map.members.is_disjoint(&heirs);
+            let is_fenced = !old.map.members.is_disjoint(&sources);
             let ends = if is_fenced { now } else { now.max(self.without_promises(old.at)) };
             ends.after(horizon_ms)
         };
         let open = self.open_maps().into_iter();
-        let lost = open.filter(|old| !old.map.members.is_subset(&heirs));
+        let lost = open.filter(|old| !old.map.members.is_subset(&sources));
         let mut maps: Vec<(Map, Time)> = lost.map(|old| (old.map.clone(), until(&old))).collect();
         if !self.reaches_back() {
             // Nothing is known of who acted before: a map without members
@@ -318,13 +318,13 @@
     /// When this instance may become active, if no other hand-over comes.
     #[must_use]
     pub fn ready_at(&self) -> Time {
-        let heirs = self.heirs();
+        let sources = self.sources();
         let last_heard = self.handoffs().map(|(_, at)| *at).max().unwrap_or(self.read_at);
         let heard = last_heard.max(self.read_at);
         let mut ready_at = heard;
         for old in self.open_maps() {
             // Every map's wait starts at the same time: they do not add up.
-            ready_at = ready_at.max(self.fenced_at(&old, &heirs, heard));
+            ready_at = ready_at.max(self.fenced_at(&old, &sources, heard));
         }
         if !self.reaches_back() {
             // Maps that nobody told of were replaced before the first map
@@ -336,19 +336,19 @@
 
     /// When no member of a replaced map acts any longer, given that the last
     /// hand-over came at `heard`.
-    fn fenced_at(&self, old: &Replaced, heirs: &BTreeSet<Instance>, heard: Time) -> Time {
+    fn fenced_at(&self, old: &Replaced, sources: &BTreeSet<Instance>, heard: Time) -> Time {
         let members = &old.map.members;
         let fence_ms = self.config.lease_ms + self.config.guard_ms;
         let mut staying = members.intersection(&self.map.members);
-        if !staying.all(|member| heirs.contains(member)) {
+        if !staying.all(|member| sources.contains(member)) {
             // It may be cut off from here alone, and then no newer map will
             // come that leaves it out. Keys that only it knows are lost.
             return heard.after(fence_ms + self.config.lease_ms);
         }
-        if members.is_subset(heirs) {
+        if members.is_subset(sources) {
             return heard;
         }
-        match members.is_disjoint(heirs) {
+        match members.is_disjoint(sources) {
             // A member that has handed over had stopped promising by then.
             false => heard.after(fence_ms),
             true => self.without_promises(old.at),
@@ -389,7 +389,7 @@
             return Time(0);
         }
         let by_log = log_confirmed.after(self.config.lease_ms);
-        let others = self.map.members.iter().filter(|member| **member != self.me);
+        let others = self.map.members.iter().filter(|member| **member != self.local);
         let oldest = others.map(|member| self.promises.get(member).copied()).min();
         let by_promise = match oldest {
             None => log_confirmed.after(self.config.log_away_ms),
@@ -403,12 +403,14 @@
 
     /// True if claims on `key` may have been lost.
     #[must_use]
-    pub fn is_blind(&self, key: &str, now: Time) -> bool {
-        self.blind.iter().any(|blind| blind.until > now && !blind.map.covers(key, &blind.heirs))
+    pub fn may_have_lost_claims(&self, key: &str, now: Time) -> bool {
+        self.claim_losses
+            .iter()
+            .any(|loss| loss.until > now && !loss.map.covers(key, &loss.sources))
     }
 
     /// Drops what no caller can ask for any longer.
     pub fn expire(&mut self, now: Time) {
-        self.blind.retain(|blind| blind.until > now);
+        self.claim_losses.retain(|loss| loss.until > now);
     }
 }
--- a/crates/hollywell/src/core/pace.rs
+++ b/crates/hollywell/src/core/pace.rs
@@ -18,10 +18,10 @@
 /// Thousandths of a token, so that refills of a few milliseconds count.
 const TOKEN: u64 = 1_000;
 
-/// A way to hold fetches back.
+/// A pacing to hold fetches back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Way {
+pub enum Pacing {
     /// Not at all.
     Unpaced,
     /// Tokens that refill at the rate.
@@ -35,37 +35,37 @@
 /// # Example
 ///
 /// ```
-/// use hollywell::core::{pace::{Pace, Way}, time::Time};
+/// use hollywell::core::{pace::{Pacer, Pacing}, time::Time};
 ///
-/// let mut pace = Pace::new(Way::Gcra, 100);
+/// let mut pace = Pacer::new(Pacing::Gcra, 100);
 /// assert!(pace.admit(Time(1_000)));
 /// assert!(!pace.admit(Time(1_099)));
 /// // A refused fetch does not put the next one off.
 /// assert!(pace.admit(Time(1_100)));
 /// ```
 #[derive(Clone, Debug)]
-pub struct Pace {
-    way: Way,
+pub struct Pacer {
+    pacing: Pacing,
     interval_ms: u64,
     arrival: Time,
     tokens: u64,
     refilled: Time,
 }
 
-impl Pace {
+impl Pacer {
     /// Holds fetches to one every `interval_ms` milliseconds.
     #[must_use]
-    pub const fn new(way: Way, interval_ms: u64) -> Pace {
+    pub const fn new(pacing: Pacing, interval_ms: u64) -> Pacer {
         let interval_ms = if interval_ms == 0 { 1 } else { interval_ms };
-        Pace { way, interval_ms, arrival: Time(0), tokens: BURST * TOKEN, refilled: Time(0) }
+        Pacer { pacing, interval_ms, arrival: Time(0), tokens: BURST * TOKEN, refilled: Time(0) }
     }
 
     /// Takes a fetch at `now` if the rate allows it.
     pub fn admit(&mut self, now: Time) -> bool {
-        match self.way {
-            Way::Unpaced => true,
-            Way::Bucket => self.admit_by_bucket(now),
-            Way::Gcra => self.admit_by_arrival(now),
+        match self.pacing {
+            Pacing::Unpaced => true,
+            Pacing::Bucket => self.admit_by_bucket(now),
+            Pacing::Gcra => self.admit_by_arrival(now),
         }
     }
 
--- a/crates/hollywell/src/core/reducer/agreed.rs
+++ b/crates/hollywell/src/core/reducer/agreed.rs
@@ -19,7 +19,7 @@
 /// How long a peer may be ahead before its state is asked for, in
 /// milliseconds. Shorter, and every instance that polls the log a little
 /// later than another would ask.
-const BEHIND_MS: u64 = 1_000;
+const PULL_AFTER_MS: u64 = 1_000;
 /// Time between tries to append a snapshot, in milliseconds. An instance
 /// that is cut off from the log must not fill it when it comes back.
 const SNAPSHOT_RETRY_MS: u64 = 1_000;
@@ -61,7 +61,7 @@
                 Change::Loaded => {
                     self.install_map();
                     self.observe_lease();
-                    self.end_known_edits();
+                    self.end_decided_edits();
                 }
             }
         }
@@ -73,8 +73,8 @@
         };
         let grant: lease::Grant = grant.clone();
         let held_before = self.lease.held_until() > self.now;
-        let me = self.owner.me();
-        self.lease.observe(me, &grant, self.now, self.config.ownership.lease_ms);
+        let local = self.owner.local();
+        self.lease.observe(local, &grant, self.now, self.config.ownership.lease_ms);
         if !held_before && self.lease.held_until() > self.now {
             let wait_ms = self.config.order_ms + self.config.ownership.guard_ms;
             self.lease_from = self.now.after(wait_ms);
@@ -88,10 +88,10 @@
 
     /// Asks a peer that is ahead for its state, and writes a snapshot when
     /// one is due.
-    pub(super) fn keep_agreed(&mut self) {
+    pub(super) fn tick_agreed(&mut self) {
         self.catch_up();
         self.write_snapshot();
-        self.keep_edits();
+        self.tick_edits();
     }
 
     fn catch_up(&mut self) {
@@ -103,7 +103,7 @@
             return;
         };
         let since = *self.behind_since.get_or_insert(self.now);
-        if self.now.since(since) >= BEHIND_MS {
+        if self.now.since(since) >= PULL_AFTER_MS {
             self.behind_since = Some(self.now);
             self.send(&address, Message::Pull);
         }
@@ -113,9 +113,9 @@
     /// smallest name is the first to; if none was read by then, because it
     /// cannot reach the log, the others follow one by one.
     fn write_snapshot(&mut self) {
-        let patience = 2 + self.rank();
-        let records = self.config.snapshot_records * patience / 2;
-        let ms = self.config.snapshot_ms * patience / 2;
+        let factor = 2 + self.rank();
+        let records = self.config.snapshot_records * factor / 2;
+        let ms = self.config.snapshot_ms * factor / 2;
         let many = self.fold.since_snapshot() >= records;
         let late = self.now.since(self.snapshot_at) >= ms;
         let empty = self.fold.state().next == 0;
@@ -158,7 +158,7 @@
         }
     }
 
-    fn end_known_edits(&mut self) {
+    fn end_decided_edits(&mut self) {
         let table = &self.fold.state().table;
         let known = |pending: &PendingEdit| {
             let outcome = table.outcome(&pending.edit.id).cloned();
@@ -173,13 +173,13 @@
     /// Appends edits again whose record was not read back, and gives up on
     /// them as unknown when their time is up: the record may still come, and
     /// the operator can ask by the edit's id.
-    fn keep_edits(&mut self) {
+    fn tick_edits(&mut self) {
         let now = self.now;
         let edit_ms = self.config.edit_ms;
         let late = |pending: &mut PendingEdit| now.since(pending.since) >= edit_ms;
         let given_up: Vec<PendingEdit> = self.edits.extract_if(.., late).collect();
         for pending in given_up {
-            self.refuse(pending.request, Kind::LogAway);
+            self.refuse(pending.request, Kind::LogUnavailable);
         }
         let mut again = vec![];
         for pending in &mut self.edits {
--- a/crates/hollywell/src/core/reducer/calls.rs
+++ b/crates/hollywell/src/core/reducer/calls.rs
@@ -30,7 +30,7 @@
         let path = Path::Plain { tried: vec![] };
         self.pending.insert(request, Pending { call: call.clone(), deadline, path });
         match &call.key {
-            Some(key) => self.enter_keyed(request, arrived, key),
+            Some(key) => self.accept_keyed(request, arrived, key),
             None => self.dispatch_plain(request, Kind::NoTarget),
         }
     }
@@ -107,12 +107,12 @@
             .filter(usable)
             .map(|target| Candidate {
                 name: &target.listed.name,
-                load: load_of(target),
+                load: relative_load(target),
                 is_local: target.listed.domain == self.config.domain,
             })
             .collect();
-        self.turn += 1;
-        let chosen = self.config.policy.choose(&candidates, self.turn, &mut self.rng);
+        self.choices += 1;
+        let chosen = self.config.policy.choose(&candidates, self.choices, &mut self.rng);
         chosen.map(str::to_owned)
     }
 
@@ -122,7 +122,7 @@
             self.emit(Effect::Forget { dispatch });
             return;
         };
-        self.note_target(&flight, end, leaving);
+        self.record_target_result(&flight, end, leaving);
         match flight.purpose {
             Purpose::Call(request) => self.end_plain(request, dispatch, end),
             Purpose::Key { key, request, tried } => {
@@ -132,7 +132,7 @@
         }
     }
 
-    fn note_target(&mut self, flight: &Flight, end: End, leaving: bool) {
+    fn record_target_result(&mut self, flight: &Flight, end: End, leaving: bool) {
         if leaving {
             self.members.mark_leaving(&flight.target);
         }
@@ -177,14 +177,14 @@
 
     /// Notes that a caller has gone. A call goes on to its end, which drops
     /// its bytes; a step is of no use to anyone else.
-    pub(super) fn on_caller_gone(&mut self, request: Request) {
+    pub(super) fn on_caller_disconnected(&mut self, request: Request) {
         self.abandon_step(request);
     }
 }
 
 /// A target's load relative to its slots, with this instance's requests in
 /// flight on top of the lagging report.
-pub(super) fn load_of(target: &Target) -> f64 {
+pub(super) fn relative_load(target: &Target) -> f64 {
     let own = f64::from(target.in_flight + target.samples);
     match &target.load {
         Some(load) => {
--- a/crates/hollywell/src/core/reducer/keyed.rs
+++ b/crates/hollywell/src/core/reducer/keyed.rs
@@ -2,12 +2,12 @@
 //! reach.
 //!
 //! The entry sends the call to the key's owner. The owner claims the key,
-//! has its deputy keep a copy, and only then dispatches. Only the owner may
+//! has its replica keep a copy, and only then dispatches. Only the owner may
 //! say "not run", and a key refused so is numbered, so that a send that
 //! reached its entry before the refusal never runs after it. Everyone else
 //! says "unknown", after which sending the same key again is safe.
 
-use super::{Asking, Path, Purpose, State};
+use super::{Path, PendingCopy, Purpose, State};
 use crate::{
     core::{
         claim::{Phase, Verdict},
@@ -24,14 +24,14 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 /// How often a forwarded call is sent to its owner.
-const MOST_FORWARDS: u32 = 3;
+const MAX_FORWARDS: u32 = 3;
 /// Refusals whose times are remembered, to tell which a local caller's send
 /// came after.
-const MOST_REFUSED_AT: usize = 256;
+const MAX_REFUSED_AT: usize = 256;
 
 impl State {
     /// Takes a keyed call at its entry.
-    pub(super) fn enter_keyed(&mut self, request: Request, arrived: Time, key: &str) {
+    pub(super) fn accept_keyed(&mut self, request: Request, arrived: Time, key: &str) {
         let Some(pending) = self.pending.get(&request) else {
             return;
         };
@@ -40,7 +40,7 @@
         let owner = map.and_then(|map| map.owner(key)).cloned();
         let epoch = map.map(|map| map.epoch);
         match (owner, epoch) {
-            (Some(owner), Some(epoch)) if owner == *self.owner.me() => {
+            (Some(owner), Some(epoch)) if owner == *self.owner.local() => {
                 let seen = self.refusals_before(arrived);
                 self.own(request, epoch, seen);
             }
@@ -79,7 +79,7 @@
             call: pending.call.clone(),
             owner: owner.clone(),
             epoch,
-            seen: peer.heard_before(arrived, owner, epoch),
+            seen: peer.refusals_before(arrived, owner, epoch),
             until: clock.after(pending.deadline.since(self.now)),
         };
         let address = peer.listed.address.clone();
@@ -92,7 +92,7 @@
 
     pub(super) fn on_forward_ended(&mut self, request: Request, result: Option<&ForwardResult>) {
         if let Some(reading) = result.and_then(|result| result.reading.as_ref()) {
-            self.note_reading(reading);
+            self.record_reading(reading);
         }
         match result.map(|result| result.refused) {
             Some(None) => self.reply(request, Reply::Relayed),
@@ -113,7 +113,7 @@
             return;
         };
         *tries += 1;
-        if *tries > MOST_FORWARDS || now >= *deadline {
+        if *tries > MAX_FORWARDS || now >= *deadline {
             self.refuse(request, Kind::Unverified);
             return;
         }
@@ -126,8 +126,8 @@
         let call = forward.call.clone();
         let pending = Pending { call, deadline: forward.until, path: Path::Owned };
         self.pending.insert(request, pending);
-        let to_me = forward.owner == *self.owner.me() && forward.call.key.is_some();
-        if to_me && !self.exited {
+        let is_addressee = forward.owner == *self.owner.local() && forward.call.key.is_some();
+        if is_addressee && !self.exited {
             self.own(request, forward.epoch, forward.seen);
         } else {
             self.refuse(request, Kind::Unverified);
@@ -147,7 +147,7 @@
         pending.path = Path::Owned;
         let (call, until) = (pending.call.clone(), pending.deadline);
         let key = call.key.clone().unwrap_or_default();
-        let is_owner = self.owner.map().owner(&key) == Some(self.owner.me());
+        let is_owner = self.owner.map().owner(&key) == Some(self.owner.local());
         if !is_owner || !self.may_act(epoch) || seen < self.activated_order {
             self.refuse(request, Kind::Unverified);
             return;
@@ -166,7 +166,7 @@
     }
 
     fn claim(&mut self, request: Request, key: &str, call: &Call, until: Time) {
-        if self.owner.is_blind(key, self.now) {
+        if self.owner.may_have_lost_claims(key, self.now) {
             self.refuse(request, Kind::OutcomeUnknown);
             return;
         }
@@ -177,14 +177,14 @@
         }
         let map = self.owner.map();
         let epoch = map.epoch;
-        let Some(deputy) = map.deputy(key).cloned() else {
+        let Some(replica) = map.replica(key).cloned() else {
             self.dispatch_key(key, request, vec![], Kind::NoTarget);
             return;
         };
         let message = Message::Claim { epoch, key: key.to_owned(), digest: call.digest };
-        self.send_to(&deputy, message);
-        let asking = Asking { request, epoch, deputy, since: self.now, until };
-        self.asking.insert(key.to_owned(), asking);
+        self.send_to(&replica, message);
+        let pending = PendingCopy { request, epoch, replica, since: self.now, until };
+        self.pending_copies.insert(key.to_owned(), pending);
     }
 
     fn refusal_by_owner(&self, call: &Call, until: Time) -> Option<Kind> {
@@ -202,7 +202,7 @@
     fn refuse_key(&mut self, key: &str, kind: Kind) {
         self.refusals += 1;
         self.refused_at.push_back((self.now, self.refusals));
-        if self.refused_at.len() > MOST_REFUSED_AT {
+        if self.refused_at.len() > MAX_REFUSED_AT {
             self.refused_at.pop_front();
         }
         for request in self.claims.refuse(key, self.refusals, self.now) {
@@ -222,7 +222,7 @@
         let in_place = self.owner.is_active()
             && map.epoch == epoch
             && map.owner(key) == Some(from)
-            && map.deputy(key) == Some(self.owner.me());
+            && map.replica(key) == Some(self.owner.local());
         if !in_place {
             return;
         }
@@ -231,25 +231,25 @@
         self.send_to(from, Message::Claimed { epoch, key: key.to_owned() });
     }
 
-    /// The deputy has the copy: dispatch.
+    /// The replica has the copy: dispatch.
     pub(super) fn on_claimed(&mut self, from: &Instance, epoch: u64, key: &str) {
-        let expected = |asking: &&Asking| asking.deputy == *from && asking.epoch == epoch;
-        let Some(asking) = self.asking.get(key).filter(expected).cloned() else {
+        let expected = |pending: &&PendingCopy| pending.replica == *from && pending.epoch == epoch;
+        let Some(pending) = self.pending_copies.get(key).filter(expected).cloned() else {
             return;
         };
-        self.asking.remove(key);
+        self.pending_copies.remove(key);
         if !self.may_act(epoch) {
-            self.give_up_key(key, Kind::Unverified);
-        } else if self.now >= asking.until {
+            self.abandon_key(key, Kind::Unverified);
+        } else if self.now >= pending.until {
             self.refuse_key(key, Kind::DeadlinePassed);
         } else {
-            self.dispatch_key(key, asking.request, vec![], Kind::NoTarget);
+            self.dispatch_key(key, pending.request, vec![], Kind::NoTarget);
         }
     }
 
     /// Drops a claim that was not dispatched and that this instance may no
     /// longer decide about.
-    fn give_up_key(&mut self, key: &str, kind: Kind) {
+    fn abandon_key(&mut self, key: &str, kind: Kind) {
         for request in self.claims.advance(key, Phase::Uncertain, self.now) {
             self.refuse(request, kind);
         }
@@ -302,9 +302,9 @@
     /// instance still may.
     fn retry_key(&mut self, key: &str, request: Request, tried: Vec<String>) {
         if !self.may_act(self.owner.map().epoch)
-            || self.owner.map().owner(key) != Some(self.owner.me())
+            || self.owner.map().owner(key) != Some(self.owner.local())
         {
-            self.give_up_key(key, Kind::Unverified);
+            self.abandon_key(key, Kind::Unverified);
             return;
         }
         let expired = self.pending.get(&request).is_none_or(|p| self.now >= p.deadline);
@@ -316,24 +316,29 @@
         self.dispatch_key(key, request, tried, Kind::TargetRefused);
     }
 
-    /// Refuses claims whose deputy did not answer in time, asks it again
+    /// Refuses claims whose replica did not answer in time, asks it again
     /// meanwhile, and forgets claims past the callers' retry horizon.
-    pub(super) fn keep_claims(&mut self) {
-        let asking: Vec<(String, Asking)> =
-            self.asking.iter().map(|(key, asking)| (key.clone(), asking.clone())).collect();
-        for (key, asking) in asking {
-            if self.now.since(asking.since) >= self.config.deputy_ms || self.now >= asking.until {
-                self.asking.remove(&key);
-                let may_say = self.may_act(asking.epoch);
+    pub(super) fn tick_claims(&mut self) {
+        let pending_copies: Vec<(String, PendingCopy)> = self
+            .pending_copies
+            .iter()
+            .map(|(key, pending)| (key.clone(), pending.clone()))
+            .collect();
+        for (key, pending) in pending_copies {
+            if self.now.since(pending.since) >= self.config.replica_timeout_ms
+                || self.now >= pending.until
+            {
+                self.pending_copies.remove(&key);
+                let may_say = self.may_act(pending.epoch);
                 match may_say {
-                    true => self.refuse_key(&key, Kind::NoDeputy),
-                    false => self.give_up_key(&key, Kind::Unverified),
+                    true => self.refuse_key(&key, Kind::NoReplica),
+                    false => self.abandon_key(&key, Kind::Unverified),
                 }
                 continue;
             }
             let digest = self.claims.get(&key).map(|claim| claim.digest).unwrap_or_default();
-            let message = Message::Claim { epoch: asking.epoch, key, digest };
-            self.send_to(&asking.deputy, message);
+            let message = Message::Claim { epoch: pending.epoch, key, digest };
+            self.send_to(&pending.replica, message);
         }
         for dispatch in self.claims.expire(self.now, self.config.ownership.horizon_ms) {
             self.emit(Effect::Forget { dispatch });
@@ -343,7 +348,7 @@
 
     /// Gives up what was claimed and not dispatched, at a change of the map.
     pub(super) fn abandon_claims(&mut self) {
-        self.asking.clear();
+        self.pending_copies.clear();
         for (_, waiters) in self.claims.abandon() {
             for request in waiters {
                 self.refuse(request, Kind::Unverified);
--- a/crates/hollywell/src/core/reducer/mod.rs
+++ b/crates/hollywell/src/core/reducer/mod.rs
@@ -19,7 +19,7 @@
         lease,
         member::{Members, Peer, Reading},
         owner,
-        pace::Pace,
+        pace::Pacer,
         retry::Budget,
         rollout::{Slot, Steps},
         route::Policy,
@@ -53,9 +53,11 @@
     /// Times of ownership and of the lease on orders.
     pub ownership: owner::Config,
     /// Time between heartbeats within the failure domain, in milliseconds.
-    pub beat_ms: u64,
+    #[serde(rename = "beat_ms")]
+    pub heartbeat_ms: u64,
     /// Time between heartbeats to other failure domains, in milliseconds.
-    pub remote_beat_ms: u64,
+    #[serde(rename = "remote_beat_ms")]
+    pub remote_heartbeat_ms: u64,
     /// Silence after which a peer is taken for dead, in milliseconds.
     pub suspect_ms: u64,
     /// How long a change of membership must last before a new map is
@@ -71,8 +73,9 @@
     pub steps: usize,
     /// Percentage of an engine's slots that rollouts leave to live traffic.
     pub reserve_percent: u32,
-    /// How long a deputy may take to copy a claim, in milliseconds.
-    pub deputy_ms: u64,
+    /// How long a replica may take to copy a claim, in milliseconds.
+    #[serde(rename = "deputy_ms")]
+    pub replica_timeout_ms: u64,
     /// How long an order to an engine may take, in milliseconds.
     pub order_ms: u64,
     /// Engines of the failure domain that may change weights at once.
@@ -100,8 +103,8 @@
             domain: domain.to_owned(),
             domains: domains.iter().map(|name| (*name).to_owned()).collect(),
             ownership: owner::Config::default(),
-            beat_ms: 500,
-            remote_beat_ms: 2_000,
+            heartbeat_ms: 500,
+            remote_heartbeat_ms: 2_000,
             suspect_ms: 2_000,
             settle_ms: 500,
             snapshot_records: 500,
@@ -109,7 +112,7 @@
             calls: 1_024,
             steps: 64,
             reserve_percent: 25,
-            deputy_ms: 1_000,
+            replica_timeout_ms: 1_000,
             order_ms: 5_000,
             orders: 2,
             edit_ms: 5_000,
@@ -157,12 +160,12 @@
     Sample { request: Request, slot: Slot },
 }
 
-/// A claim that waits for its deputy.
+/// A claim that waits for its replica.
 #[derive(Clone, Debug)]
-struct Asking {
+struct PendingCopy {
     request: Request,
     epoch: u64,
-    deputy: Instance,
+    replica: Instance,
     since: Time,
     until: Time,
 }
@@ -218,7 +221,7 @@
     refusals: u64,
     refused_at: VecDeque<(Time, u64)>,
     activated_order: u64,
-    asking: BTreeMap<String, Asking>,
+    pending_copies: BTreeMap<String, PendingCopy>,
     pending: BTreeMap<Request, Pending>,
     flights: BTreeMap<Dispatch, Flight>,
     last_dispatch: u64,
@@ -227,12 +230,12 @@
     edits: Vec<PendingEdit>,
     lease: lease::State,
     lease_from: Time,
-    ordered: BTreeMap<String, orders::Ordered>,
-    pace: Pace,
+    sent_orders: BTreeMap<String, orders::SentOrder>,
+    pacer: Pacer,
     draining: Option<Time>,
     idle_ticks: u32,
     exited: bool,
-    turn: u64,
+    choices: u64,
     rng: SmallRng,
     out: Vec<Effect>,
 }
@@ -256,7 +259,7 @@
             refusals: 0,
             refused_at: VecDeque::new(),
             activated_order: 0,
-            asking: BTreeMap::new(),
+            pending_copies: BTreeMap::new(),
             pending: BTreeMap::new(),
             flights: BTreeMap::new(),
             last_dispatch: 0,
@@ -265,12 +268,12 @@
             edits: vec![],
             lease: lease::State::default(),
             lease_from: Time(0),
-            ordered: BTreeMap::new(),
-            pace: Pace::new(config.policy.pace, orders::interval_ms(&config)),
+            sent_orders: BTreeMap::new(),
+            pacer: Pacer::new(config.policy.pace, orders::interval_ms(&config)),
             draining: None,
             idle_ticks: 0,
             exited: false,
-            turn: 0,
+            choices: 0,
             rng: SmallRng::seed_from_u64(config.seed),
             out: vec![],
             config,
@@ -301,7 +304,7 @@
             Event::TargetEnded { dispatch, end, leaving } => {
                 self.on_target_ended(*dispatch, *end, *leaving);
             }
-            Event::CallerGone { request } => self.on_caller_gone(*request),
+            Event::CallerGone { request } => self.on_caller_disconnected(*request),
             Event::Loaded { target, load } => self.on_load(target, load.as_ref()),
             Event::Version { trainer, version } => self.steps.note_version(trainer, *version),
             Event::StepOpened { request, opening } => self.on_step_opened(*request, opening),
@@ -310,19 +313,19 @@
             Event::OrderEnded { target, taken } => self.on_order_ended(target, *taken),
             Event::Drain => self.draining = self.draining.or(Some(self.now)),
         }
-        self.pump_samples();
+        self.start_samples();
         std::mem::take(&mut self.out)
     }
 
     fn on_tick(&mut self) {
-        self.send_beats();
-        self.keep_ownership();
-        self.keep_claims();
-        self.keep_agreed();
-        self.keep_orders();
+        self.send_heartbeats();
+        self.tick_ownership();
+        self.tick_claims();
+        self.tick_agreed();
+        self.tick_orders();
         self.hedge_samples();
         self.end_late_steps();
-        self.keep_stopping();
+        self.tick_stopping();
     }
 
     fn emit(&mut self, effect: Effect) {
@@ -344,7 +347,7 @@
     }
 
     fn send(&mut self, address: &str, message: Message) {
-        let from = self.owner.me().clone();
+        let from = self.owner.local().clone();
         let address = address.to_owned();
         self.emit(Effect::Send { from, address, message });
     }
@@ -382,7 +385,7 @@
     #[must_use]
     pub fn is_live(&self, peer: &Peer) -> bool {
         let is_near = peer.listed.domain == self.config.domain;
-        let far_ms = self.config.suspect_ms.max(self.config.remote_beat_ms * 2);
+        let far_ms = self.config.suspect_ms.max(self.config.remote_heartbeat_ms * 2);
         let window_ms = if is_near { self.config.suspect_ms } else { far_ms };
         peer.is_live(self.now, window_ms)
     }
@@ -439,7 +442,7 @@
     /// What this instance says of itself as an owner, if it is active.
     fn reading(&self) -> Option<Reading> {
         let reading = || Reading {
-            from: self.owner.me().clone(),
+            from: self.owner.local().clone(),
             epoch: self.owner.map().epoch,
             order: self.refusals,
             clock: self.now,
--- a/crates/hollywell/src/core/reducer/orders.rs
+++ b/crates/hollywell/src/core/reducer/orders.rs
@@ -27,28 +27,28 @@
 
 /// An order that was given to an engine.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Ordered {
+pub(super) struct SentOrder {
     /// Until when the engine gets no other one.
     until: Time,
     /// True until its end is known.
-    under_way: bool,
+    in_flight: bool,
 }
 
 impl State {
-    pub(super) fn keep_orders(&mut self) {
-        self.keep_lease();
+    pub(super) fn tick_orders(&mut self) {
+        self.tick_lease();
         let left_ms = self.lease.held_until().since(self.now);
         let too_short = left_ms <= self.config.order_ms.min(self.order_limit_ms());
         if too_short || self.now < self.lease_from || self.draining.is_some() {
             return;
         }
-        self.ordered.retain(|_, ordered| ordered.until > self.now);
+        self.sent_orders.retain(|_, sent| sent.until > self.now);
         for (target, address, order) in self.due_orders() {
-            if !self.pace.admit(self.now) {
+            if !self.pacer.admit(self.now) {
                 break;
             }
             let until = self.now.after(self.config.order_ms);
-            self.ordered.insert(target.clone(), Ordered { until, under_way: true });
+            self.sent_orders.insert(target.clone(), SentOrder { until, in_flight: true });
             let before = Time(self.lease.held_until().0.saturating_sub(self.order_limit_ms()));
             self.emit(Effect::Order { target, address, order, before });
         }
@@ -60,18 +60,18 @@
         self.config.ownership.lease_ms / 3
     }
 
-    fn keep_lease(&mut self) {
+    fn tick_lease(&mut self) {
         if !self.log_read || self.fold.has_gap() || self.draining.is_some() {
             return;
         }
         let grant = self.fold.state().leases.0.get(&self.config.domain);
         let base = grant.map(|grant| grant.renewed);
-        let is_holder = grant.is_some_and(|grant| grant.holder == *self.owner.me());
+        let is_holder = grant.is_some_and(|grant| grant.holder == *self.owner.local());
         let times = self.config.ownership;
         let step = self.lease.step(is_holder, self.now, times.lease_ms, times.guard_ms);
         if step == Step::Claim {
             let domain = self.config.domain.clone();
-            let holder = self.owner.me().clone();
+            let holder = self.owner.local().clone();
             self.append(Record::Claim(Claim { domain, holder, base }));
         }
     }
@@ -79,8 +79,8 @@
     /// Orders for engines of this failure domain that report an old version,
     /// as many as may change at once.
     fn due_orders(&self) -> Vec<(String, String, Order)> {
-        let under_way = self.ordered.values().filter(|ordered| ordered.under_way).count();
-        let room = self.config.orders.saturating_sub(under_way);
+        let in_flight = self.sent_orders.values().filter(|sent| sent.in_flight).count();
+        let free = self.config.orders.saturating_sub(in_flight);
         let grant = self.fold.state().leases.0.get(&self.config.domain);
         let Some(fence) = grant.map(|grant| grant.fence) else {
             return vec![];
@@ -89,16 +89,16 @@
             target.listed.kind == Kind::Engine
                 && target.listed.domain == self.config.domain
                 && !target.leaving
-                && !self.ordered.contains_key(&target.listed.name)
+                && !self.sent_orders.contains_key(&target.listed.name)
         };
         let engines = self.members.targets.values().filter(ours);
         let due = engines.filter_map(|engine| {
             let (trainer, version) = self.next_version(engine)?;
-            let holder = self.owner.me().clone();
+            let holder = self.owner.local().clone();
             let order = Order { fence, holder, trainer, version };
             Some((engine.listed.name.clone(), engine.listed.address.clone(), order))
         });
-        due.take(room).collect()
+        due.take(free).collect()
     }
 
     /// The first trainer of which the engine serves an old version, with the
@@ -116,16 +116,16 @@
     /// another until the lagging report shows it, but makes room for the
     /// next engine; a failed one is repeated soon.
     pub(super) fn on_order_ended(&mut self, target: &str, taken: bool) {
-        let pause_ms = if taken { REPORT_LAG_MS } else { self.config.beat_ms };
+        let pause_ms = if taken { REPORT_LAG_MS } else { self.config.heartbeat_ms };
         let until = self.now.after(pause_ms);
-        self.ordered.insert(target.to_owned(), Ordered { until, under_way: false });
+        self.sent_orders.insert(target.to_owned(), SentOrder { until, in_flight: false });
     }
 
     /// Forgets an order whose engine reports that it serves what it should.
     pub(super) fn forget_order(&mut self, target: &str) {
         let engine = self.members.targets.get(target);
         if engine.is_some_and(|engine| self.next_version(engine).is_none()) {
-            self.ordered.remove(target);
+            self.sent_orders.remove(target);
         }
     }
 }
--- a/crates/hollywell/src/core/reducer/peers.rs
+++ b/crates/hollywell/src/core/reducer/peers.rs
@@ -15,8 +15,8 @@
 
 impl State {
     /// Sends the heartbeats that are due.
-    pub(super) fn send_beats(&mut self) {
-        let message = Message::Beat {
+    pub(super) fn send_heartbeats(&mut self) {
+        let message = Message::Heartbeat {
             sent: self.now,
             next: self.fold.state().next,
             leaving: self.members.leaving(),
@@ -26,11 +26,11 @@
         for peer in self.members.peers.values_mut() {
             let is_near = peer.listed.domain == self.config.domain;
             let every_ms = match is_near {
-                true => self.config.beat_ms,
-                false => self.config.remote_beat_ms,
+                true => self.config.heartbeat_ms,
+                false => self.config.remote_heartbeat_ms,
             };
-            if peer.beaten_at.is_none_or(|at| self.now.since(at) >= every_ms) {
-                peer.beaten_at = Some(self.now);
+            if peer.heartbeat_sent_at.is_none_or(|at| self.now.since(at) >= every_ms) {
+                peer.heartbeat_sent_at = Some(self.now);
                 due.push(peer.listed.address.clone());
             }
         }
@@ -41,11 +41,11 @@
 
     pub(super) fn on_message(&mut self, from: &Instance, message: &Message) {
         match message {
-            Message::Beat { sent, next, leaving, demand } => {
+            Message::Heartbeat { sent, next, leaving, demand } => {
                 if let Some(peer) = self.members.peers.get_mut(&from.name) {
                     peer.demand = *demand;
                 }
-                self.on_beat(from, *sent, *next, leaving);
+                self.on_heartbeat(from, *sent, *next, leaving);
             }
             Message::Echo { sent, epoch, reading, next, draining } => {
                 self.on_echo(from, *sent, *epoch, reading.as_ref(), *draining);
@@ -54,7 +54,7 @@
             Message::Claim { epoch, key, digest } => self.on_claim(from, *epoch, key, *digest),
             Message::Claimed { epoch, key } => self.on_claimed(from, *epoch, key),
             Message::Handoff(handoff) => {
-                self.owner.hear(from, handoff, self.now);
+                self.owner.receive(from, handoff, self.now);
                 self.activate();
             }
             Message::Pull => {
@@ -65,7 +65,7 @@
         }
     }
 
-    fn on_beat(&mut self, from: &Instance, sent: Time, next: u64, leaving: &[String]) {
+    fn on_heartbeat(&mut self, from: &Instance, sent: Time, next: u64, leaving: &[String]) {
         for name in leaving {
             self.members.mark_leaving(name);
         }
@@ -97,11 +97,11 @@
             return;
         }
         peer.instance = Some(from.clone());
-        peer.heard_at = Some(now);
+        peer.last_seen_at = Some(now);
         peer.draining = draining;
         let is_near = peer.listed.domain == self.config.domain;
         if let Some(reading) = reading {
-            peer.note_reading(reading, now);
+            peer.record_reading(reading, now);
         }
         if is_near {
             self.owner.confirm_by_peer(from, epoch, sent);
@@ -112,9 +112,9 @@
         }
     }
 
-    pub(super) fn note_reading(&mut self, reading: &Reading) {
+    pub(super) fn record_reading(&mut self, reading: &Reading) {
         if let Some(peer) = self.members.peers.get_mut(&reading.from.name) {
-            peer.note_reading(reading, self.now);
+            peer.record_reading(reading, self.now);
         }
     }
 
@@ -145,7 +145,7 @@
     }
 
     fn hand_over_to(&mut self, to: &Instance) {
-        if *to == *self.owner.me() || self.owner.map().members.is_empty() {
+        if *to == *self.owner.local() || self.owner.map().members.is_empty() {
             return;
         }
         let (claims, now) = (&self.claims, self.now);
@@ -167,14 +167,14 @@
 
     /// Activates when it is time, and proposes a map that matches who is
     /// live.
-    pub(super) fn keep_ownership(&mut self) {
+    pub(super) fn tick_ownership(&mut self) {
         self.activate();
         let desired = self.desired_members();
         if desired != self.desired.0 {
             self.desired = (desired, self.now);
         }
         let settled = self.now.since(self.desired.1) >= self.config.settle_ms;
-        let retry = |at: Time| self.now.since(at) < self.config.beat_ms * 2;
+        let retry = |at: Time| self.now.since(at) < self.config.heartbeat_ms * 2;
         let waits = self.proposed_at.is_some_and(retry);
         let same = self.desired.0 == self.owner.map().members;
         if !settled || waits || same || !self.may_propose() {
@@ -191,7 +191,7 @@
         let known = self.log_read && !self.fold.has_gap();
         let first = self.desired.0.first();
         let leaves = self.draining.is_some() && self.owner.is_member();
-        known && (leaves || first == Some(self.owner.me())) && !self.desired.0.is_empty()
+        known && (leaves || first == Some(self.owner.local())) && !self.desired.0.is_empty()
     }
 
     /// The instances of this failure domain that should share its keys.
@@ -203,7 +203,7 @@
         let mut desired: BTreeSet<Instance> =
             peers.filter_map(|peer| peer.instance.clone()).collect();
         if self.draining.is_none() {
-            desired.insert(self.owner.me().clone());
+            desired.insert(self.owner.local().clone());
         }
         desired
     }
--- a/crates/hollywell/src/core/reducer/samples.rs
+++ b/crates/hollywell/src/core/reducer/samples.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use super::{Flight, Purpose, State, calls::load_of};
+use super::{Flight, Purpose, State, calls::relative_load};
 use crate::{
     core::{
         effect::{Counted, Effect},
@@ -56,7 +56,7 @@
 
     /// Starts samples as long as there is a slot to run and an engine with
     /// room for it.
-    pub(super) fn pump_samples(&mut self) {
+    pub(super) fn start_samples(&mut self) {
         if self.draining.is_some() {
             return;
         }
@@ -161,21 +161,21 @@
         near: Option<&str>,
     ) -> Option<String> {
         let policy = self.config.policy;
-        let ask = Ask {
+        let requirements = Requirements {
             trainer: &row.trainer,
             oldest: self.steps.oldest(row),
             tried,
             now: self.now,
-            room: Room { reserve_percent: self.config.reserve_percent, share: self.share() },
+            quota: SlotQuota { reserve_percent: self.config.reserve_percent, share: self.share() },
             fixed: policy.fixed_samples,
         };
-        let candidates = ask.engines(&self.members);
+        let candidates = requirements.engines(&self.members);
         let near = near.filter(|_| policy.affinity);
         if let Some(near) = near.and_then(|near| route::within_bound(&candidates, near)) {
             return Some(near.to_owned());
         }
-        self.turn += 1;
-        policy.choose(&candidates, self.turn, &mut self.rng).map(str::to_owned)
+        self.choices += 1;
+        policy.choose(&candidates, self.choices, &mut self.rng).map(str::to_owned)
     }
 
     pub(super) fn on_sample_ended(&mut self, dispatch: Dispatch, end: &End) {
@@ -330,73 +330,76 @@
 }
 
 /// What an engine must have to be given a sample.
-struct Ask<'a> {
+struct Requirements<'a> {
     trainer: &'a str,
     oldest: u64,
     tried: &'a [String],
     now: Time,
-    room: Room,
+    quota: SlotQuota,
     fixed: Option<u32>,
 }
 
-impl Ask<'_> {
+impl Requirements<'_> {
     /// The engines that may be given the sample; none if this instance has
     /// its share of all of them in flight.
     fn engines<'m>(&self, members: &'m Members) -> Vec<Candidate<'m>> {
         let targets = || members.targets.values();
         let slots: u32 = targets().filter_map(|target| Some(target.load.as_ref()?.slots)).sum();
         let samples: u32 = targets().map(|target| target.samples).sum();
-        if self.fixed.is_none() && samples >= self.room.in_all(slots) {
+        if self.fixed.is_none() && samples >= self.quota.total(slots) {
             return vec![];
         }
         let candidate = |target: &'m Target| Candidate {
             name: &target.listed.name,
-            load: load_of(target),
+            load: relative_load(target),
             // Every engine may serve rollouts of every domain: keeping to
             // the nearest would leave the others' share idle.
             is_local: true,
         };
-        targets().filter(|target| self.suits(target)).map(candidate).collect()
+        targets().filter(|target| self.is_eligible(target)).map(candidate).collect()
     }
 
-    fn suits(&self, target: &Target) -> bool {
+    fn is_eligible(&self, target: &Target) -> bool {
         let Some(load) = &target.load else {
             return false;
         };
         let serves = load.versions.get(self.trainer).is_some_and(|v| *v >= self.oldest);
         let is_new = !self.tried.contains(&target.listed.name);
-        serves && is_new && self.has_room(target, load) && target.is_usable(self.now)
+        serves && is_new && self.has_capacity(target, load) && target.is_usable(self.now)
     }
 
-    fn has_room(&self, target: &Target, load: &member::Load) -> bool {
+    fn has_capacity(&self, target: &Target, load: &member::Load) -> bool {
         let is_full = load.running + load.waiting >= load.slots;
         match self.fixed {
             Some(fixed) => target.samples < fixed,
-            None => target.samples < self.room.at(load.slots) && !(is_full && target.samples > 0),
+            None => {
+                target.samples < self.quota.per_engine(load.slots)
+                    && !(is_full && target.samples > 0)
+            }
         }
     }
 }
 
 /// How much of the engines one instance may use for samples.
-struct Room {
+struct SlotQuota {
     reserve_percent: u32,
     share: f64,
 }
 
-impl Room {
-    fn open(&self, slots: u32) -> f64 {
+impl SlotQuota {
+    fn usable(&self, slots: u32) -> f64 {
         f64::from(slots * (100 - self.reserve_percent.min(100))) / 100.0
     }
 
     /// Samples in flight at one engine of `slots` slots. Rounded up: what is
     /// too much there is too little elsewhere, and the sum is bounded.
-    fn at(&self, slots: u32) -> u32 {
-        (self.open(slots) * self.share).ceil() as u32
+    fn per_engine(&self, slots: u32) -> u32 {
+        (self.usable(slots) * self.share).ceil() as u32
     }
 
     /// Samples in flight at all engines of `slots` slots together; at least
     /// one, so that every step goes on.
-    fn in_all(&self, slots: u32) -> u32 {
-        ((self.open(slots) * self.share) as u32).max(1)
+    fn total(&self, slots: u32) -> u32 {
+        ((self.usable(slots) * self.share) as u32).max(1)
     }
 }
--- a/crates/hollywell/src/core/reducer/stop.rs
+++ b/crates/hollywell/src/core/reducer/stop.rs
@@ -7,17 +7,17 @@
 /// Ticks without a request before the process may end. A process that was
 /// paused while it was stopping finds requests waiting in its sockets; they
 /// are answered before their connections are closed.
-pub(super) const QUIET_TICKS: u32 = 2;
+pub(super) const IDLE_TICKS: u32 = 2;
 
 impl State {
-    pub(super) fn keep_stopping(&mut self) {
+    pub(super) fn tick_stopping(&mut self) {
         let Some(since) = self.draining else {
             return;
         };
         let idle = self.in_flight() == 0 && self.flights.is_empty();
         self.idle_ticks = if idle { self.idle_ticks + 1 } else { 0 };
         let waited = self.now.since(since) >= self.config.resign_ms;
-        let quiet = self.idle_ticks > QUIET_TICKS;
+        let quiet = self.idle_ticks > IDLE_TICKS;
         if quiet && !self.exited && (self.has_handed_over() || waited) {
             self.exited = true;
             self.emit(Effect::Exit);
--- a/crates/hollywell/src/core/retry.rs
+++ b/crates/hollywell/src/core/retry.rs
@@ -11,7 +11,7 @@
 /// Thousandths of a retry that one retry costs.
 const COST_OF_RETRY: u32 = 1_000;
 /// Most thousandths of a retry that are saved up.
-const MOST_SAVED: u32 = 10_000;
+const MAX_SAVED: u32 = 10_000;
 
 /// A budget of retries, earned by successes, so that retries stay a bounded
 /// share of the load when everything fails.
@@ -33,14 +33,14 @@
 
 impl Default for Budget {
     fn default() -> Budget {
-        Budget { saved: MOST_SAVED }
+        Budget { saved: MAX_SAVED }
     }
 }
 
 impl Budget {
     /// Earns a tenth of a retry.
     pub fn earn(&mut self) {
-        self.saved = (self.saved + EARNED_PER_SUCCESS).min(MOST_SAVED);
+        self.saved = (self.saved + EARNED_PER_SUCCESS).min(MAX_SAVED);
     }
 
     /// Spends one retry if there is one.
@@ -54,9 +54,9 @@
 }
 
 /// First time that a failing target is left alone, in milliseconds.
-const FIRST_PAUSE_MS: u64 = 200;
+const MIN_BACKOFF_MS: u64 = 200;
 /// Longest time that a failing target is left alone, in milliseconds.
-const LONGEST_PAUSE_MS: u64 = 5_000;
+const MAX_BACKOFF_MS: u64 = 5_000;
 
 /// Leaves a target alone after failures, for longer each time.
 #[derive(Clone, Debug, Default)]
@@ -76,9 +76,9 @@
     /// the one before.
     pub fn fail(&mut self, now: Time) {
         let doublings = self.failures.min(16);
-        let pause_ms = (FIRST_PAUSE_MS << doublings).min(LONGEST_PAUSE_MS);
+        let backoff_ms = (MIN_BACKOFF_MS << doublings).min(MAX_BACKOFF_MS);
         self.failures += 1;
-        self.open_until = now.after(pause_ms);
+        self.open_until = now.after(backoff_ms);
     }
 
     /// Notes a success.
--- a/crates/hollywell/src/core/route.rs
+++ b/crates/hollywell/src/core/route.rs
@@ -9,7 +9,7 @@
 use rand::{Rng, rngs::SmallRng};
 use serde::{Deserialize, Serialize};
 
-use crate::core::pace::Way;
+use crate::core::pace::Pacing;
 
 /// How a target is chosen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -38,7 +38,7 @@
     /// more loaded than the others.
     pub affinity: bool,
     /// How weight fetches are held to the store's rate.
-    pub pace: Way,
+    pub pace: Pacing,
 }
 
 impl Policy {
@@ -51,20 +51,20 @@
             fixed_samples: Some(4),
             hedge_percent: 0,
             affinity: false,
-            pace: Way::Unpaced,
+            pace: Pacing::Unpaced,
         }
     }
 
-    /// Chooses among candidates; `turn` counts the choices made so far.
+    /// Chooses among candidates; `count` is the choices made so far.
     #[must_use]
     pub fn choose<'a>(
         self,
         candidates: &[Candidate<'a>],
-        turn: u64,
+        count: u64,
         rng: &mut SmallRng,
     ) -> Option<&'a str> {
         match self.choice {
-            Choice::RoundRobin => choose_by_turn(candidates, turn),
+            Choice::RoundRobin => choose_round_robin(candidates, count),
             Choice::TwoChoices => choose(candidates, rng),
         }
     }
@@ -77,7 +77,7 @@
             fixed_samples: None,
             hedge_percent: 10,
             affinity: true,
-            pace: Way::Gcra,
+            pace: Pacing::Gcra,
         }
     }
 }
@@ -151,10 +151,10 @@
     (chosen.load <= average * LOAD_BOUND).then_some(chosen.name)
 }
 
-/// Chooses the candidate whose turn it is: the `turn`-th, counted round and
-/// round.
-fn choose_by_turn<'a>(candidates: &[Candidate<'a>], turn: u64) -> Option<&'a str> {
-    let count = u64::try_from(candidates.len()).ok().filter(|count| *count > 0)?;
-    let index = usize::try_from(turn % count).ok()?;
+/// Chooses the candidates in rotation; `count` is the number of choices made
+/// so far.
+fn choose_round_robin<'a>(candidates: &[Candidate<'a>], count: u64) -> Option<&'a str> {
+    let len = u64::try_from(candidates.len()).ok().filter(|len| *len > 0)?;
+    let index = usize::try_from(count % len).ok()?;
     candidates.get(index).map(|candidate| candidate.name)
 }
--- a/crates/hollywell/src/core/timeout.rs
+++ b/crates/hollywell/src/core/timeout.rs
@@ -14,28 +14,28 @@
 /// Least silence that is borne, in milliseconds. A store that is well
 /// answers in some milliseconds, on a slow day in some hundreds; a
 /// connection that died in silence is found after so long.
-const LEAST_MS: f64 = 800.0;
+const MIN_TIMEOUT_MS: f64 = 800.0;
 /// Longest silence that is borne, in milliseconds: what nobody answered by
 /// then, a caller will not wait for either.
-const MOST_MS: f64 = 6_000.0;
+const MAX_TIMEOUT_MS: f64 = 6_000.0;
 /// Weights of the newest answer in the mean time and in its spread, and how
 /// many spreads above the mean an answer may take (RFC 6298, section 2).
 const MEAN_WEIGHT: f64 = 0.125;
 /// See [`MEAN_WEIGHT`].
-const SPREAD_WEIGHT: f64 = 0.25;
+const VARIATION_WEIGHT: f64 = 0.25;
 /// See [`MEAN_WEIGHT`].
-const SPREADS: f64 = 4.0;
-/// Doublings of the limit after silences in a row.
-const DOUBLINGS: u32 = 3;
+const VARIATIONS: f64 = 4.0;
+/// Doublings of the limit after timeouts in a row.
+const MAX_DOUBLINGS: u32 = 3;
 
 /// First pause after a failed call, in milliseconds.
-const PAUSE_MS: u64 = 100;
+const MIN_BACKOFF_MS: u64 = 100;
 /// Longest pause at a store that answers nobody here, in milliseconds: that
 /// it is back should be noticed well within the second that its users are
 /// granted.
-const PAUSE_MOST_MS: u64 = 400;
+const MAX_BACKOFF_MS: u64 = 400;
 /// Instances up to which pauses do not grow with their number.
-const CROWD: usize = 30;
+const INSTANCES_PER_STEP: usize = 30;
 
 /// What this instance has seen of the time that the store's answers take.
 ///
@@ -59,29 +59,29 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Timeout {
     mean_ms: Option<f64>,
-    spread_ms: f64,
-    silences: u32,
+    variation_ms: f64,
+    timeouts: u32,
 }
 
 impl Timeout {
     /// How long an answer may be silent now, in milliseconds.
     #[must_use]
     pub fn limit_ms(&self) -> u64 {
-        let usual = self.mean_ms.unwrap_or_default() + SPREADS * self.spread_ms;
-        let doubled = f64::from(1_u32 << self.silences.min(DOUBLINGS));
-        (usual.max(LEAST_MS) * doubled).min(MOST_MS) as u64
+        let usual = self.mean_ms.unwrap_or_default() + VARIATIONS * self.variation_ms;
+        let doubled = f64::from(1_u32 << self.timeouts.min(MAX_DOUBLINGS));
+        (usual.max(MIN_TIMEOUT_MS) * doubled).min(MAX_TIMEOUT_MS) as u64
     }
 
     /// Notes how long an answer took, beyond what it was asked to wait.
     pub fn answered(&mut self, took_ms: u64) {
         let took = took_ms as f64;
-        self.silences = 0;
+        self.timeouts = 0;
         let Some(mean) = self.mean_ms else {
             self.mean_ms = Some(took);
-            self.spread_ms = took / 2.0;
+            self.variation_ms = took / 2.0;
             return;
         };
-        self.spread_ms += SPREAD_WEIGHT * ((mean - took).abs() - self.spread_ms);
+        self.variation_ms += VARIATION_WEIGHT * ((mean - took).abs() - self.variation_ms);
         self.mean_ms = Some(mean + MEAN_WEIGHT * (took - mean));
     }
 
@@ -92,14 +92,14 @@
     /// that the cut had swallowed hung for six seconds after it.
     pub fn timed_out(&mut self, limit_ms: u64) {
         if limit_ms >= self.limit_ms() {
-            self.silences += 1;
+            self.timeouts += 1;
         }
     }
 
     /// Notes that the store answers nobody here: silence is then an outage's,
     /// no crowd's, and its end should be noticed soon.
     pub fn unavailable(&mut self) {
-        self.silences = 0;
+        self.timeouts = 0;
     }
 }
 
@@ -109,7 +109,7 @@
 /// crowd is as large as the number of `instances`.
 #[must_use]
 pub fn max_backoff_ms(failures: u32, instances: usize, away: bool) -> u64 {
-    let crowd = if away { 1 } else { instances.div_ceil(CROWD).max(1) as u64 };
-    let doubled = PAUSE_MS << failures.saturating_sub(1).min(8);
-    doubled.min(PAUSE_MOST_MS * crowd)
+    let crowd = if away { 1 } else { instances.div_ceil(INSTANCES_PER_STEP).max(1) as u64 };
+    let doubled = MIN_BACKOFF_MS << failures.saturating_sub(1).min(8);
+    doubled.min(MAX_BACKOFF_MS * crowd)
 }
--- a/crates/hollywell/src/core/usage.rs
+++ b/crates/hollywell/src/core/usage.rs
@@ -35,9 +35,9 @@
 /// time is for the calls and for a successor.
 const SETTLED_SHARE: f64 = 0.45;
 /// Windows that are still reported when a duty was left undone for long.
-const MOST_BEHIND: u64 = 24;
+const MAX_BACKLOG: u64 = 24;
 /// Windows for which an instance keeps its counts.
-const KEPT: u64 = 8;
+const KEPT_WINDOWS: u64 = 8;
 
 /// What an instance counted in one window so far.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
@@ -78,7 +78,7 @@
         let counts = self.windows.entry(window).or_default();
         *counts.entry(organisation.to_owned()).or_default() += 1;
         self.changed.insert(window);
-        while self.windows.len() as u64 > KEPT {
+        while self.windows.len() as u64 > KEPT_WINDOWS {
             self.windows.pop_first();
         }
     }
@@ -129,7 +129,7 @@
 /// The key of a piece that a peer brings to the store for another instance.
 /// It must not take the place of a newer one.
 #[must_use]
-pub fn carried_key(key: &str, peer: &str) -> String {
+pub fn forwarded_key(key: &str, peer: &str) -> String {
     format!("{key}|{peer}")
 }
 
@@ -246,7 +246,7 @@
 
     /// Keys of pieces of windows that are decided for good.
     #[must_use]
-    pub fn is_spent(&self, key: &str) -> bool {
+    pub fn is_obsolete(&self, key: &str) -> bool {
         let reported = self.reported;
         parse_piece(key).is_none_or(|(window, _)| reported.is_some_and(|last| window <= last))
     }
@@ -274,7 +274,7 @@
         }
         let first = self.pieces.keys().next().copied().unwrap_or(from).min(from);
         let next = self.reported.map_or(first, |last| last + 1);
-        let window = next.max(terms.window(now_ms).saturating_sub(MOST_BEHIND));
+        let window = next.max(terms.window(now_ms).saturating_sub(MAX_BACKLOG));
         let settled_ms = terms.settled_ms(window);
         if now_ms < settled_ms {
             return Next::Wait(settled_ms);
@@ -309,9 +309,9 @@
 /// # Example
 ///
 /// ```
-/// use hollywell::core::{time::Time, usage::Day};
+/// use hollywell::core::{time::Time, usage::SteadyClock};
 ///
-/// let mut day = Day::default();
+/// let mut day = SteadyClock::default();
 /// assert_eq!(day.read(Time(1_000), 500_000), 500_000);
 /// // It jumps two seconds ahead and is not believed.
 /// assert_eq!(day.read(Time(1_100), 502_100), 500_100);
@@ -319,19 +319,19 @@
 /// assert_eq!(day.read(Time(1_200), 500_203), 500_203);
 /// ```
 #[derive(Clone, Debug, Default)]
-pub struct Day {
+pub struct SteadyClock {
     /// What is to be added to the steady clock.
     offset_ms: Option<i64>,
     /// Since when the time of day has been elsewhere.
     stepped_at: Option<Time>,
 }
 
-impl Day {
+impl SteadyClock {
     /// The time of day, in milliseconds since 1970, from a steady clock and a
     /// reading of the machine's.
-    pub fn read(&mut self, now: Time, wall_ms: u64) -> u64 {
+    pub fn read(&mut self, now: Time, unix_ms: u64) -> u64 {
         let steady_ms = i64::try_from(now.0).unwrap_or(i64::MAX);
-        let offset_ms = i64::try_from(wall_ms).unwrap_or(i64::MAX).saturating_sub(steady_ms);
+        let offset_ms = i64::try_from(unix_ms).unwrap_or(i64::MAX).saturating_sub(steady_ms);
         let known_ms = *self.offset_ms.get_or_insert(offset_ms);
         let is_slew = known_ms.abs_diff(offset_ms) <= SLEW_MS;
         let since = *self.stepped_at.get_or_insert(now);
--- a/crates/hollywell/src/entry/caller.rs
+++ b/crates/hollywell/src/entry/caller.rs
@@ -114,7 +114,7 @@
 ///
 /// # Errors
 ///
-/// Why it is refused: [`Kind::StoreAway`] where that cannot be known.
+/// Why it is refused: [`Kind::StoreUnavailable`] where that cannot be known.
 pub async fn routed(
     shared: &Rc<Shared>,
     host: &str,
@@ -141,7 +141,7 @@
     let until = Instant::now() + WAIT;
     loop {
         let told = shared.configured.notified();
-        let plan = shared.world.borrow().plan.clone().ok_or(Kind::StoreAway)?;
+        let plan = shared.world.borrow().plan.clone().ok_or(Kind::StoreUnavailable)?;
         let current = is_current(shared);
         match judge(&plan) {
             Ok(judged) if !is_too_old(shared, &plan) => return Ok(judged),
@@ -149,7 +149,7 @@
             Ok(_) | Err(_) => {}
         }
         if timeout_at(until, told).await.is_err() {
-            return Err(Kind::StoreAway);
+            return Err(Kind::StoreUnavailable);
         }
     }
 }
--- a/crates/hollywell/src/entry/clean.rs
+++ b/crates/hollywell/src/entry/clean.rs
@@ -131,7 +131,7 @@
     let world = shared.world.borrow();
     let jobs = || world.shelves.iter().flat_map(|shelf| &shelf.book.jobs);
     for (id, job) in jobs() {
-        spares.entry(id.clone()).or_insert_with(|| Garbage::new(now)).look(job, now);
+        spares.entry(id.clone()).or_insert_with(|| Garbage::new(now)).observe(job, now);
     }
     spares.retain(|id, _| world.shelves.iter().any(|shelf| shelf.book.jobs.contains_key(id)));
 }
--- a/crates/hollywell/src/entry/duties.rs
+++ b/crates/hollywell/src/entry/duties.rs
@@ -207,7 +207,7 @@
         log::warn!("{error}");
     }
     let keys = pieces.records.into_iter().map(|record| record.key);
-    let spent = keys.filter(|key| ledger.is_spent(key)).collect();
+    let spent = keys.filter(|key| ledger.is_obsolete(key)).collect();
     Ok((ledger, decided.end, spent))
 }
 
--- a/crates/hollywell/src/entry/ingress.rs
+++ b/crates/hollywell/src/entry/ingress.rs
@@ -252,7 +252,7 @@
         Err(kind) => return refuse(shared, kind),
     };
     let Some(plan) = known_plan(shared) else {
-        return refuse(shared, Kind::StoreAway);
+        return refuse(shared, Kind::StoreUnavailable);
     };
     let names = &shared.dialect.headers;
     if plan.organisations.is_some() {
@@ -346,7 +346,7 @@
     match reply {
         Reply::Done => Response::new(Full::default()),
         Reply::Found(body) => Response::new(Full::new(body)),
-        Reply::NotDone | Reply::Unsure => refuse(shared, Kind::StoreAway),
+        Reply::NotDone | Reply::Unsure => refuse(shared, Kind::StoreUnavailable),
         Reply::NoRoom(ms) => come_back(refuse(shared, Kind::StoreFull), ms),
         Reply::Unknown => refuse(shared, Kind::OutcomeUnknown),
         Reply::Missing => refuse(shared, Kind::NoRoute),
--- a/crates/hollywell/src/entry/jobs.rs
+++ b/crates/hollywell/src/entry/jobs.rs
@@ -98,7 +98,7 @@
     if !batch::is_id(job) || decoded.samples.iter().any(|sample| !batch::is_id(&sample.id)) {
         return Reply::Malformed(format!(
             "ids have 1 to {} bytes, none of them '|'",
-            batch::MAX_ID
+            batch::MAX_ID_LEN
         ));
     }
     // Another instance may just have accepted it. Where that cannot be read,
--- a/crates/hollywell/src/entry/orders.rs
+++ b/crates/hollywell/src/entry/orders.rs
@@ -109,7 +109,7 @@
     let mut steps: BTreeMap<String, Vec<Step>> = BTreeMap::new();
     let jobs = world.shelves.iter().flat_map(|shelf| &shelf.book.jobs);
     for (id, job) in jobs {
-        if job.ended || job.is_whole() || world.ending.holds(id) {
+        if job.ended || job.is_complete() || world.ending.holds(id) {
             continue;
         }
         let samples = (job.done.len() - job.results.len()) as u64;
--- a/crates/hollywell/src/entry/outbox.rs
+++ b/crates/hollywell/src/entry/outbox.rs
@@ -72,7 +72,7 @@
         let id = job.manifest.samples[slot.at].id.clone();
         let versions = if dead { vec![] } else { text.versions.into_iter().collect() };
         let score = text.score.filter(|_| !dead);
-        let outcome = Outcome { id, dead, text: None, versions, score };
+        let outcome = Outcome { id, abandoned: dead, text: None, versions, score };
         let text = (!dead).then(|| Bytes::from(text.data));
         let entry = Entry { slot: slot.clone(), outcome, text };
         shared.outbox[part].queue.borrow_mut().push_back(entry);
@@ -143,7 +143,7 @@
     let append = Append { part: at, records, expected_end: None, purpose };
     let appended = shared.append(append).await?;
     for (Entry { slot, outcome, .. }, offset) in taken.iter().zip(appended.offset..) {
-        let ending = if outcome.dead { "given up" } else { "whole" };
+        let ending = if outcome.abandoned { "given up" } else { "whole" };
         log::debug!("sample {}/{} is {ending}: record {offset} or after", slot.job, slot.at);
     }
     Ok(())
--- a/crates/hollywell/src/entry/shared.rs
+++ b/crates/hollywell/src/entry/shared.rs
@@ -494,7 +494,7 @@
             let Some(job) = world.shelves[part].book.jobs.get(&id) else {
                 return;
             };
-            if job.ended || job.is_whole() || world.ending.holds(&id) {
+            if job.ended || job.is_complete() || world.ending.holds(&id) {
                 return;
             }
             let plan = world.plan.clone();
--- a/crates/hollywell/src/entry/usage.rs
+++ b/crates/hollywell/src/entry/usage.rs
@@ -15,7 +15,7 @@
 use crate::{
     core::{
         room::Use,
-        usage::{self, Day, Tally},
+        usage::{self, SteadyClock, Tally},
     },
     entry::{
         peers,
@@ -64,7 +64,7 @@
 #[derive(Debug, Default)]
 pub struct Usage {
     tally: RefCell<Tally>,
-    day: RefCell<Day>,
+    day: RefCell<SteadyClock>,
     /// Records of peers that could not store them.
     carried: RefCell<BTreeMap<String, Bytes>>,
     changed: Notify,
@@ -158,7 +158,7 @@
         let mut carried = shared.usage.carried.borrow_mut();
         for Said { key, value } in records {
             if carried.len() < MOST_CARRIED {
-                carried.insert(usage::carried_key(&key, &shared.writer), value);
+                carried.insert(usage::forwarded_key(&key, &shared.writer), value);
             }
         }
     }
--- a/crates/hollywell/src/error.rs
+++ b/crates/hollywell/src/error.rs
@@ -62,7 +62,8 @@
     /// The deadline passed before the request was dispatched.
     DeadlinePassed,
     /// A copy of the claim could not be placed, so it was not dispatched.
-    NoDeputy,
+    #[serde(rename = "no_deputy")]
+    NoReplica,
     /// The send was overtaken by an earlier refusal of the same key.
     Superseded,
     /// The key's owner could not be asked, or cannot act now.
@@ -70,10 +71,12 @@
     /// The request was dispatched and no whole answer came back.
     OutcomeUnknown,
     /// The platform's log cannot be reached.
-    LogAway,
+    #[serde(rename = "log_away")]
+    LogUnavailable,
     /// The platform's store did not take what must be kept, or cannot be
     /// asked for what is not known here.
-    StoreAway,
+    #[serde(rename = "store_away")]
+    StoreUnavailable,
     /// The platform's store has no room for what would have to be kept.
     StoreFull,
     /// A fault of hollywell itself.
@@ -119,12 +122,12 @@
         Kind::TargetRefused,
         Kind::EndsTargets,
         Kind::DeadlinePassed,
-        Kind::NoDeputy,
+        Kind::NoReplica,
         Kind::Superseded,
         Kind::Unverified,
         Kind::OutcomeUnknown,
-        Kind::LogAway,
-        Kind::StoreAway,
+        Kind::LogUnavailable,
+        Kind::StoreUnavailable,
         Kind::StoreFull,
         Kind::Internal,
     ];
@@ -163,14 +166,14 @@
             Kind::TargetRefused => answer(503, NotRun, Some(1), "the target refused it"),
             Kind::EndsTargets => answer(503, NotRun, Some(600), "targets that ran it have ended"),
             Kind::DeadlinePassed => answer(504, NotRun, Some(1), "the deadline passed first"),
-            Kind::NoDeputy => answer(503, NotRun, Some(2), "the claim could not be copied"),
+            Kind::NoReplica => answer(503, NotRun, Some(2), "the claim could not be copied"),
             // Not "not run": another send of the key that came after the
             // refusal may be running.
             Kind::Superseded => answer(503, Unknown, Some(1), "an earlier refusal overtook it"),
             Kind::Unverified => answer(503, Unknown, Some(1), "the key's owner cannot act now"),
             Kind::OutcomeUnknown => answer(502, Unknown, Some(5), "no whole answer came back"),
-            Kind::LogAway => answer(503, Unknown, Some(5), "the platform's log is away"),
-            Kind::StoreAway => answer(503, NotRun, Some(1), "the platform's store is away"),
+            Kind::LogUnavailable => answer(503, Unknown, Some(5), "the platform's log is away"),
+            Kind::StoreUnavailable => answer(503, NotRun, Some(1), "the platform's store is away"),
             Kind::StoreFull => answer(503, NotRun, Some(2), "the platform's store is full"),
             Kind::Internal => answer(500, Unknown, Some(5), "a fault of hollywell"),
         }
@@ -194,12 +197,12 @@
             Kind::TargetRefused => "target_refused",
             Kind::EndsTargets => "ends_targets",
             Kind::DeadlinePassed => "deadline_passed",
-            Kind::NoDeputy => "no_deputy",
+            Kind::NoReplica => "no_deputy",
             Kind::Superseded => "superseded",
             Kind::Unverified => "unverified",
             Kind::OutcomeUnknown => "outcome_unknown",
-            Kind::LogAway => "log_away",
-            Kind::StoreAway => "store_away",
+            Kind::LogUnavailable => "log_away",
+            Kind::StoreUnavailable => "store_away",
             Kind::StoreFull => "store_full",
             Kind::Internal => "internal",
         }
--- a/crates/hollywell/src/settings.rs
+++ b/crates/hollywell/src/settings.rs
@@ -227,11 +227,12 @@
         log_away_ms: reader.number(own, "log_away_ms", usual.log_away_ms, 1_000..=MOST_MS),
         horizon_ms: reader.number(own, "horizon_ms", usual.horizon_ms, 1_000..=MOST_MS),
     };
-    config.deputy_ms = reader.number(own, "deputy_ms", config.deputy_ms, 10..=60_000);
+    config.replica_timeout_ms =
+        reader.number(own, "deputy_ms", config.replica_timeout_ms, 10..=60_000);
     let members = "membership";
-    config.beat_ms = reader.number(members, "beat_ms", config.beat_ms, 50..=10_000);
-    config.remote_beat_ms =
-        reader.number(members, "remote_beat_ms", config.remote_beat_ms, 50..=60_000);
+    config.heartbeat_ms = reader.number(members, "beat_ms", config.heartbeat_ms, 50..=10_000);
+    config.remote_heartbeat_ms =
+        reader.number(members, "remote_beat_ms", config.remote_heartbeat_ms, 50..=60_000);
     config.suspect_ms = reader.number(members, "suspect_ms", config.suspect_ms, 100..=60_000);
     config.settle_ms = reader.number(members, "settle_ms", config.settle_ms, 0..=60_000);
     let limits = "limits";
--- a/crates/hollywell/src/view.rs
+++ b/crates/hollywell/src/view.rs
@@ -112,7 +112,7 @@
             (trainer, version)
         };
         View {
-            instance: state.ownership().me().clone(),
+            instance: state.ownership().local().clone(),
             domain: state.config().domain.clone(),
             ready: state.is_ready(),
             draining: state.is_draining(),
--- a/crates/hollywell/tests/batch.rs
+++ b/crates/hollywell/tests/batch.rs
@@ -40,7 +40,7 @@
 
 fn outcome(sample: usize, text: &str) -> Outcome {
     let (id, score) = (format!("s{sample}"), Some(text.to_owned()));
-    Outcome { id, dead: false, text: None, versions: vec![1], score }
+    Outcome { id, abandoned: false, text: None, versions: vec![1], score }
 }
 
 #[test]
--- a/crates/hollywell/tests/interleavings/node.rs
+++ b/crates/hollywell/tests/interleavings/node.rs
@@ -117,11 +117,11 @@
     let mut config = Config::new(Instance::new(name, run * 1_000), domain, domains);
     config.ownership =
         owner::Config { lease_ms: 900, guard_ms: 100, log_away_ms: 4_000, horizon_ms: HORIZON_MS };
-    config.beat_ms = 200;
-    config.remote_beat_ms = 300;
+    config.heartbeat_ms = 200;
+    config.remote_heartbeat_ms = 300;
     config.suspect_ms = 700;
     config.settle_ms = 100;
-    config.deputy_ms = 500;
+    config.replica_timeout_ms = 500;
     config.order_ms = 400;
     config.edit_ms = 1_500;
     config.snapshot_records = 12;
--- a/crates/hollywell/tests/owner.rs
+++ b/crates/hollywell/tests/owner.rs
@@ -40,8 +40,15 @@
 }
 
 fn handoff(epoch: u64, last_active: Option<u64>) -> Handoff {
-    let formerly = vec![];
-    Handoff { epoch, last_active, formerly, history: vec![], copies: vec![], blind: vec![] }
+    let former_ids = vec![];
+    Handoff {
+        epoch,
+        last_active,
+        former_ids,
+        history: vec![],
+        copies: vec![],
+        claim_losses: vec![],
+    }
 }
 
 #[test]
@@ -54,9 +61,9 @@
     a.install(&map(4, Some(1), &["a", "b"]), Time(40));
     let copy = Copy { key: "k".into(), digest: 3, age_ms: 5 };
     let told = a.handoff(|| vec![copy.clone()], Time(41)).clone();
-    b.hear(&instance("a"), &told, Time(50));
+    b.receive(&instance("a"), &told, Time(50));
     assert_eq!(b.activate(Time(50)), Some(vec![copy]));
-    assert!(!b.is_blind("any", Time(50)), "everything was handed over");
+    assert!(!b.may_have_lost_claims("any", Time(50)), "everything was handed over");
 }
 
 #[test]
@@ -64,14 +71,14 @@
     let mut b = state("b");
     b.install(&map(1, None, &["a", "c"]), Time(20));
     b.install(&map(4, Some(1), &["a", "b", "c"]), Time(30));
-    b.hear(&instance("c"), &handoff(4, Some(1)), Time(40));
+    b.receive(&instance("c"), &handoff(4, Some(1)), Time(40));
     let given_up = Time(40 + 2 * LEASE_MS + GUARD_MS);
     assert_eq!(b.activate(Time(given_up.0 - 1)), None);
     assert!(b.activate(given_up).is_some());
     let before = map(1, None, &["a", "c"]);
-    let unknown = |key: &String| b.is_blind(key, given_up);
+    let unknown = |key: &String| b.may_have_lost_claims(key, given_up);
     let keys: Vec<String> = (0..50).map(|n| format!("k{n}")).collect();
-    // In a map of two each is the other's deputy, so c knows every key.
+    // In a map of two each is the other's replica, so c knows every key.
     assert_eq!(keys.iter().filter(|key| unknown(key)).count(), 0, "{before:?}");
 }
 
@@ -79,7 +86,7 @@
 fn a_removed_members_lease_is_waited_for_once_however_many_maps_follow() {
     let mut a = state("a");
     a.install(&map(1, None, &["a", "b"]), Time(10));
-    a.hear(&instance("b"), &handoff(1, None), Time(10));
+    a.receive(&instance("b"), &handoff(1, None), Time(10));
     assert!(a.activate(Time(10)).is_some());
     a.install(&map(2, Some(1), &["a"]), Time(100));
     a.install(&map(3, Some(2), &["a", "c"]), Time(110));
@@ -99,7 +106,7 @@
     let wait_ends = Time(20).after(AWAY_MS + GUARD_MS);
     assert_eq!(c.ready_at(), wait_ends, "a later map does not start it anew");
     assert!(c.activate(wait_ends).is_some());
-    assert!(c.is_blind("any", wait_ends), "nobody handed over a's claims");
+    assert!(c.may_have_lost_claims("any", wait_ends), "nobody handed over a's claims");
 }
 
 #[test]
@@ -107,16 +114,16 @@
     let mut a = state("a");
     a.install(&map(1, None, &["a", "b", "c"]), Time(10));
     for other in ["b", "c"] {
-        a.hear(&instance(other), &handoff(1, None), Time(10));
+        a.receive(&instance(other), &handoff(1, None), Time(10));
     }
     a.activate(Time(10));
     a.install(&map(2, Some(1), &["a", "b"]), Time(20));
     a.install(&map(3, Some(2), &["a"]), Time(30));
     // b was active in 2 and hands over to a map that a has not read yet.
-    a.hear(&instance("b"), &handoff(7, Some(2)), Time(40));
+    a.receive(&instance("b"), &handoff(7, Some(2)), Time(40));
     let late = Time(100_000);
     a.activate(late);
-    let lost = (0..64).filter(|n| a.is_blind(&format!("k{n}"), late)).count();
+    let lost = (0..64).filter(|n| a.may_have_lost_claims(&format!("k{n}"), late)).count();
     assert!(lost > 0, "claims of b and c in map 1 were not handed over: {lost} of 64 unknown");
 }
 
@@ -124,7 +131,7 @@
 fn promises_of_all_others_stand_in_for_the_log_and_end_with_its_bound() {
     let mut a = state("a");
     a.install(&map(1, None, &["a", "b"]), Time(10));
-    a.hear(&instance("b"), &handoff(1, None), Time(10));
+    a.receive(&instance("b"), &handoff(1, None), Time(10));
     a.activate(Time(10));
     assert_eq!(a.lease_until(), Time(0), "the log was never reached");
     a.confirm_by_log(Time(50));
@@ -142,7 +149,7 @@
     let mut a = active_alone("a", 1, Time(10));
     a.install(&map(2, Some(1), &["b"]), Time(20));
     assert!(a.rejoin());
-    assert_eq!(*a.me(), Instance::new("a", 2));
+    assert_eq!(*a.local(), Instance::new("a", 2));
     assert!(!a.rejoin(), "once is enough");
 }
 
@@ -172,7 +179,7 @@
     assert_eq!(moved, of_e, "only the removed member's keys move");
     let to_deputy = keys.iter().filter(|key| before.owner(key) == Some(&instance("e")));
     for key in to_deputy {
-        assert_eq!(after.owner(key), before.deputy(key), "the deputy takes {key} over");
+        assert_eq!(after.owner(key), before.replica(key), "the replica takes {key} over");
     }
 }
 
@@ -180,13 +187,13 @@
 fn a_removed_instance_still_knows_what_it_knew() {
     let mut a = state("a");
     a.install(&map(1, None, &["a", "b"]), Time(10));
-    a.hear(&instance("b"), &handoff(1, None), Time(10));
+    a.receive(&instance("b"), &handoff(1, None), Time(10));
     a.activate(Time(10));
     // b removes a, and then a removes b without having heard from it.
     a.install(&map(2, Some(1), &["b"]), Time(20));
     assert!(a.rejoin());
     let mut alone = map(3, Some(2), &[]);
-    alone.members.insert(a.me().clone());
+    alone.members.insert(a.local().clone());
     a.install(&alone, Time(30));
     let key = (0..64)
         .map(|n| format!("k{n}"))
@@ -195,7 +202,7 @@
     assert_eq!(a.activate(Time(20 + AWAY_MS + GUARD_MS - 1)), None, "b may act alone in map 2");
     let late = Time(20 + AWAY_MS + GUARD_MS + 10);
     assert!(a.activate(late).is_some());
-    assert!(a.is_blind(&key, late), "b owned it in map 2, and is gone");
+    assert!(a.may_have_lost_claims(&key, late), "b owned it in map 2, and is gone");
 }
 
 #[test]
@@ -208,15 +215,15 @@
     assert!(n.activate(active).is_some());
     let last_claim = Time(20 + AWAY_MS + GUARD_MS);
     let still = Time(last_claim.0 + 600_000 - 1);
-    assert!(n.is_blind("any", still), "a caller may still send a key of a's again");
-    assert!(!n.is_blind("any", Time(still.0 + 1)));
+    assert!(n.may_have_lost_claims("any", still), "a caller may still send a key of a's again");
+    assert!(!n.may_have_lost_claims("any", Time(still.0 + 1)));
 }
 
 #[test]
 fn two_that_removed_each_other_lose_nothing_once_they_meet() {
     let mut b = state("b");
     b.install(&map(1, None, &["a", "b"]), Time(10));
-    b.hear(&instance("a"), &handoff(1, None), Time(10));
+    b.receive(&instance("a"), &handoff(1, None), Time(10));
     b.activate(Time(10));
     b.install(&map(2, Some(1), &["a"]), Time(20));
     assert!(b.rejoin());
@@ -229,9 +236,9 @@
     b.install(&later(3, &[&b_again]), Time(30));
     b.install(&later(4, &[&a_again, &b_again]), Time(40));
     // a was removed before it could act in the map of its own.
-    let told = Handoff { formerly: vec![instance("a")], ..handoff(4, Some(1)) };
-    b.hear(&a_again, &told, Time(50));
+    let told = Handoff { former_ids: vec![instance("a")], ..handoff(4, Some(1)) };
+    b.receive(&a_again, &told, Time(50));
     assert!(b.activate(Time(50)).is_some(), "everybody who ever acted has handed over");
-    let unknown = (0..64).filter(|n| b.is_blind(&format!("k{n}"), Time(50))).count();
+    let unknown = (0..64).filter(|n| b.may_have_lost_claims(&format!("k{n}"), Time(50))).count();
     assert_eq!(unknown, 0, "of 64 keys");
 }
--- a/crates/hollywell/tests/reducer/agreed.rs
+++ b/crates/hollywell/tests/reducer/agreed.rs
@@ -25,8 +25,8 @@
     for n in 1..60 {
         count(&state.step(Time(2_000 + n * 100), &Event::Tick));
     }
-    assert_eq!((appended, kinds), (5, vec![Kind::LogAway]));
-    assert_eq!(Kind::LogAway.answer().outcome, Outcome::Unknown, "a record may still come");
+    assert_eq!((appended, kinds), (5, vec![Kind::LogUnavailable]));
+    assert_eq!(Kind::LogUnavailable.answer().outcome, Outcome::Unknown, "a record may still come");
 }
 
 #[test]
--- a/crates/hollywell/tests/reducer/calls.rs
+++ b/crates/hollywell/tests/reducer/calls.rs
@@ -73,7 +73,7 @@
     let list = vec![service("s1"), service("s2"), listed("b", MemberKind::Instance, "")];
     let mut state = state_with(list);
     let leaving = vec![String::from("s1"), String::from("s2")];
-    let message = Message::Beat { sent: Time(7), next: 0, leaving, demand: 0 };
+    let message = Message::Heartbeat { sent: Time(7), next: 0, leaving, demand: 0 };
     state.step(Time(1_001), &Event::Peer { from: Instance::new("b", 1), message });
     let effects = arrive(&mut state, Time(1_002), 1, call(false));
     assert_eq!(refused(&effects), [Kind::NoTarget]);
--- a/crates/hollywell/tests/spare.rs
+++ b/crates/hollywell/tests/spare.rs
@@ -53,7 +53,7 @@
     fn list(&mut self, writer: &str, sample: usize) {
         let id = format!("s{sample}");
         let text = Some(text(&text_key("j", writer, &id)));
-        let outcome = Outcome { id, dead: false, text, versions: vec![1], score: None };
+        let outcome = Outcome { id, abandoned: false, text, versions: vec![1], score: None };
         self.append(outcome_record("j", writer, &outcome));
     }
 
@@ -66,7 +66,7 @@
 
     /// Takes what is due and drops it, as one instance does.
     fn drop_due(&mut self, spare: &mut Garbage, now: u64) -> Keys {
-        spare.look(&self.book.jobs["j"], Time(now));
+        spare.observe(&self.book.jobs["j"], Time(now));
         let (keys, after) = spare.next("j", &self.book.jobs["j"], Time(now));
         *spare = after;
         for key in &keys.jobs {
@@ -147,7 +147,8 @@
     // The answer to the append of the result was lost, so that it was
     // appended again; its text lay in the store before.
     let text = Some(text(&text_key("j", "a", "s0")));
-    let outcome = Outcome { id: "s0".into(), dead: false, text, versions: vec![1], score: None };
+    let outcome =
+        Outcome { id: "s0".into(), abandoned: false, text, versions: vec![1], score: None };
     world.append(outcome_record("j", "a.1", &outcome));
     world.append(outcome_record("j", "a.2", &outcome));
     let keys = world.drop_due(&mut spare, 0);
--- a/crates/hollywell/tests/usage.rs
+++ b/crates/hollywell/tests/usage.rs
@@ -9,7 +9,9 @@
 use bytes::Bytes;
 use hollywell::core::{
     time::Time,
-    usage::{Counts, Day, Ledger, Next, Schedule, Tally, carried_key, decision, reported},
+    usage::{
+        Counts, Ledger, Next, Schedule, SteadyClock, Tally, decision, forwarded_key, reported,
+    },
 };
 
 const TERMS: Schedule = Schedule { window_ms: 5_000, late_ms: 10_000 };
@@ -35,7 +37,7 @@
     b.begin(4, "survey");
     // The same window again, by a peer, and older than what is there.
     let carried: Vec<_> =
-        early.iter().map(|(key, value)| (carried_key(key, "b1"), value.clone())).collect();
+        early.iter().map(|(key, value)| (forwarded_key(key, "b1"), value.clone())).collect();
     let all: Vec<_> = [late, b.take("b1"), carried].concat();
     let sum = ledger(&all).next(TERMS.settled_ms(4), TERMS, 4);
     assert_eq!(sum, Next::Decide(4, counts(&[("harbour", 1), ("survey", 3)])));
@@ -88,7 +90,7 @@
         let before = ledger.next(0, TERMS, 5);
         let _either = ledger.piece(&key, &value);
         let read = ledger.duty(&key, &Bytes::from(value));
-        assert!(read.is_ok() || ledger.next(0, TERMS, 5) == before || ledger.is_spent(""));
+        assert!(read.is_ok() || ledger.next(0, TERMS, 5) == before || ledger.is_obsolete(""));
         Ok(())
     })
     .seed(0x5eed_0000_0400)
@@ -103,7 +105,7 @@
 
 #[test]
 fn a_clock_that_jumps_and_comes_back_moves_no_window() {
-    let mut day = Day::default();
+    let mut day = SteadyClock::default();
     let (start, wall) = (Time(1_000), 1_000_000);
     assert_eq!(day.read(start, wall), wall);
     for ms in (100..20_000).step_by(100) {
--- a/crates/xtask/src/guards.rs
+++ b/crates/xtask/src/guards.rs
@@ -38,10 +38,10 @@
 
 const GUARDS: &[Guard] = &[
     Guard {
-        name: "deputy's copy before dispatch",
+        name: "replica's copy before dispatch",
         file: REDUCER_KEYED,
-        find: "let Some(deputy) = map.deputy(key).cloned() else {",
-        replace: "let Some(deputy) = None::<Instance> else {",
+        find: "let Some(replica) = map.replica(key).cloned() else {",
+        replace: "let Some(replica) = None::<Instance> else {",
         proof: KEYED,
     },
     Guard {
@@ -75,7 +75,7 @@
     Guard {
         name: "unknown for keys whose claims were lost",
         file: REDUCER_KEYED,
-        find: "if self.owner.is_blind(key, self.now) {",
+        find: "if self.owner.may_have_lost_claims(key, self.now) {",
         replace: "if false {",
         proof: KEYED,
     },
@@ -96,21 +96,21 @@
     Guard {
         name: "a removed instance still knows what it knew",
         file: OWNER,
-        find: "self.former.push(self.me.clone());",
+        find: "self.former_ids.push(self.local.clone());",
         replace: "self.last_active = None;",
         proof: "owner",
     },
     Guard {
         name: "hand-overs of the current epoch only",
         file: OWNER,
-        find: "self.heard.values().filter(|(handoff, _)| handoff.epoch == self.map.epoch)",
-        replace: "self.heard.values()",
+        find: "self.received.values().filter(|(handoff, _)| handoff.epoch == self.map.epoch)",
+        replace: "self.received.values()",
         proof: "owner",
     },
     Guard {
         name: "a removed incarnation never returns",
         file: OWNER,
-        find: "            self.me.incarnation += 1;",
+        find: "            self.local.incarnation += 1;",
         replace: "",
         proof: "owner",
     },
@@ -159,15 +159,15 @@
     Guard {
         name: "an ending instance owns nothing new",
         file: REDUCER_KEYED,
-        find: "if to_me && !self.exited {",
-        replace: "if to_me {",
+        find: "if is_addressee && !self.exited {",
+        replace: "if is_addressee {",
         proof: CASES,
     },
     Guard {
         name: "a stop waits for what is in flight",
         file: REDUCER_STOP,
-        find: "let quiet = self.idle_ticks > QUIET_TICKS;",
-        replace: "let quiet = self.idle_ticks <= QUIET_TICKS || idle;",
+        find: "let quiet = self.idle_ticks > IDLE_TICKS;",
+        replace: "let quiet = self.idle_ticks <= IDLE_TICKS || idle;",
         proof: KEYED,
     },
     Guard {
@@ -257,15 +257,15 @@
     Guard {
         name: "peers bring the state across a cut",
         file: REDUCER_AGREED,
-        find: "if self.now.since(since) >= BEHIND_MS {",
+        find: "if self.now.since(since) >= PULL_AFTER_MS {",
         replace: "if self.now.since(since) >= u64::MAX {",
         proof: TABLE,
     },
     Guard {
         name: "the next in rank writes snapshots",
         file: REDUCER_AGREED,
-        find: "let patience = 2 + self.rank();",
-        replace: "let patience = 2 + 1_000 * self.rank();",
+        find: "let factor = 2 + self.rank();",
+        replace: "let factor = 2 + 1_000 * self.rank();",
         proof: CASES,
     },
     Guard {
