--- a/crates/hollywell/src/core/batch/garbage.rs
+++ b/crates/hollywell/src/core/batch/garbage.rs
@@ -1,56 +1,57 @@
-//! Which records of a job nothing needs any more.
+//! Garbage collection: which records of a job are no longer needed.
 //!
-//! The store keeps keyed records for good and its room is fixed, so each kind
-//! of record is dropped as soon as no promise rests on it:
+//! The store retains keyed records until they are deleted, and its capacity is
+//! fixed, so each kind of record is deleted as soon as nothing depends on it:
 //!
 //! | record | needed until |
 //! |---|---|
-//! | requests of a group | all its samples are listed, or the job is ended |
-//! | unfinished text, and the note of it | the sample is listed; after the job's end for [`RESUME_MS`] more, as a later step may go on with it |
-//! | a result that came second, and its text | never |
+//! | requests of a group | all its samples have a result, or the job is ended |
+//! | partial text and its record | the sample has a result, or [`RESUME_MS`] after the job's end, since a later step may resume it |
+//! | duplicate result and its text | never |
 //! | all else | the job is ended, and was submitted [`Retention::status_ms`] ago |
 //!
-//! All of it follows from the fold, so any instance can drop; who does is
-//! decided elsewhere. A key that is dropped twice does no harm.
+//! All of this follows from the fold, so any instance can delete records;
+//! which one does is decided elsewhere. Deleting a key twice has no effect.
 
 use prost::Message as _;
 
 use super::{Job, MAX_CLOCK_SKEW_MS, Manifest, Outcome, end_record, manifest_record, partial_key};
 use crate::core::time::Time;
 
-/// How long unfinished texts outlive their job's end, in milliseconds:
-/// trainers ask again within duplicates or not at all, and what is gone by then
-/// is generated anew.
+/// How long partial texts outlive their job's end, in milliseconds. Trainers
+/// request a sample again within seconds or not at all; a text that is deleted
+/// by then is generated again from the start.
 const RESUME_MS: u64 = 15_000;
 
-/// What was promised.
+/// How long records are guaranteed to be retained.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Retention {
-    /// Results are kept for so long after the submission, in milliseconds.
+    /// How long results are retained after the submission, in milliseconds.
     pub status_ms: u64,
 }
 
-/// Keys of records, by where they lie.
+/// Keys of records to delete, by topic.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Keys {
-    /// In the partition of jobs.
+    /// Keys in the jobs partition.
     pub jobs: Vec<String>,
-    /// In the partition of texts with the same number.
+    /// Keys in the texts partition with the same number.
     pub texts: Vec<String>,
-    /// Ends and heads of jobs that are over, in pairs that go together and
-    /// last: a head without its end would be an open job.
-    pub heads: Vec<[String; 2]>,
+    /// Keys of the end and the manifest of each expired job. The two must be
+    /// deleted together and last: a manifest without its end would be an open
+    /// job.
+    pub manifests: Vec<[String; 2]>,
 }
 
 impl Keys {
-    /// Whether there are none.
+    /// Returns true if there are no keys.
     #[must_use]
     pub fn is_empty(&self) -> bool {
-        self.jobs.is_empty() && self.texts.is_empty() && self.heads.is_empty()
+        self.jobs.is_empty() && self.texts.is_empty() && self.manifests.is_empty()
     }
 }
 
-/// What one instance knows of what was dropped of a job.
+/// What one instance knows of the records of a job that were deleted.
 ///
 /// # Example
 ///
@@ -60,59 +61,62 @@
 ///     time::Time,
 /// };
 ///
-/// let mut book = Index::default();
+/// let mut index = Index::default();
 /// let records = [manifest_record("j", &Manifest::default()), end_record("j")];
 /// for (offset, (key, value)) in (0..).zip(records) {
-///     book.apply(&Record { offset, key, value: Some(value) })?;
+///     index.apply(&Record { offset, key, value: Some(value) })?;
 /// }
-/// let (job, terms) = (&book.jobs["j"], Retention { status_ms: 120_000 });
-/// let spare = Garbage::new(Time(0));
-/// assert!(!spare.is_over(job, Time(119_000), 119_000, terms));
-/// // By this instance's own clock, whatever the time of day is said to be.
-/// assert!(spare.is_over(job, Time(120_001), 0, terms));
+/// let (job, retention) = (&index.jobs["j"], Retention { status_ms: 120_000 });
+/// let garbage = Garbage::new(Time(0));
+/// assert!(!garbage.is_expired(job, Time(119_000), 119_000, retention));
+/// // The instance's monotonic clock suffices, whatever the time of day is.
+/// assert!(garbage.is_expired(job, Time(120_001), 0, retention));
 /// # Ok::<(), hollywell::core::batch::Skip>(())
 /// ```
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Garbage {
-    /// When the job was first seen here.
+    /// When this instance first saw the job.
     since: Time,
-    /// When its end was first seen here.
+    /// When this instance first saw the job's end.
     ended_at: Option<Time>,
-    /// The head that `requests` goes by.
-    head: u64,
-    /// Bundles whose requests were dropped.
-    requests: Vec<bool>,
-    /// How many of the results that came second were dropped.
+    /// Offset of the manifest that `bundles` refers to.
+    manifest: u64,
+    /// Which bundles of requests were deleted, by index.
+    bundles: Vec<bool>,
+    /// How many duplicate results were deleted.
     duplicates: usize,
 }
 
 impl Garbage {
-    /// Of a job that is first seen now.
+    /// Creates the state for a job that is first seen at `now`.
     #[must_use]
     pub fn new(now: Time) -> Garbage {
         Garbage { since: now, ..Garbage::default() }
     }
 
-    /// Notes what is to be seen of a job now.
+    /// Records the state of the job at `now`.
     pub fn observe(&mut self, job: &Job, now: Time) {
         if job.ended {
             self.ended_at.get_or_insert(now);
         }
     }
 
-    /// Whether nothing of a job is needed any more. `unix_ms` is the time of
-    /// day; whoever saw the job's submission needs none, and others allow for
-    /// clocks that are apart.
+    /// Returns true if the job is ended and its retention time has passed, so
+    /// that none of its records are needed.
+    ///
+    /// An instance that has known the job for that long on its monotonic clock
+    /// needs no time of day. Otherwise the age is taken from the time of day,
+    /// `unix_ms`, with an allowance for clock skew.
     #[must_use]
-    pub fn is_over(&self, job: &Job, now: Time, unix_ms: u64, terms: Retention) -> bool {
-        let told_ms = unix_ms.saturating_sub(job.manifest.at_ms);
-        let by_clock = told_ms > terms.status_ms.saturating_add(MAX_CLOCK_SKEW_MS);
-        let by_sight = now.since(self.since) > terms.status_ms;
-        job.ended && (by_clock || by_sight)
+    pub fn is_expired(&self, job: &Job, now: Time, unix_ms: u64, retention: Retention) -> bool {
+        let age_ms = unix_ms.saturating_sub(job.manifest.at_ms);
+        let by_time_of_day = age_ms > retention.status_ms.saturating_add(MAX_CLOCK_SKEW_MS);
+        let by_own_clock = now.since(self.since) > retention.status_ms;
+        job.ended && (by_time_of_day || by_own_clock)
     }
 
-    /// Keys of a job that nothing needs and that were not dropped yet, and
-    /// what is known once they are.
+    /// Returns the keys of the job that are no longer needed and not deleted
+    /// yet, and the state to adopt once they are deleted.
     #[must_use]
     pub fn next(&self, id: &str, job: &Job, now: Time) -> (Keys, Garbage) {
         let (mut keys, mut after) = (Keys::default(), self.clone());
@@ -127,52 +131,52 @@
     }
 
     fn collect_bundles(&mut self, job: &Job, keys: &mut Keys) {
-        if self.head != job.offset {
-            self.head = job.offset;
-            self.requests.clear();
+        if self.manifest != job.offset {
+            self.manifest = job.offset;
+            self.bundles.clear();
         }
-        self.requests.resize(job.manifest.bundles.len(), false);
+        self.bundles.resize(job.manifest.bundles.len(), false);
         let needed = job.needed_bundles();
         for (at, bundle) in job.manifest.bundles.iter().enumerate() {
-            if !needed[at] && !std::mem::replace(&mut self.requests[at], true) {
+            if !needed[at] && !std::mem::replace(&mut self.bundles[at], true) {
                 keys.texts.push(bundle.key.clone());
             }
         }
     }
 
-    /// The note goes after the partial_text_keys, and tells everybody that they went.
+    /// The record of the partial text is deleted after its chunks; its
+    /// tombstone tells all instances that they are gone.
     fn collect_partials(&self, id: &str, job: &Job, now: Time, keys: &mut Keys) {
-        let old = self.ended_at.is_some_and(|at| now.since(at) > RESUME_MS);
-        for (at, partial_text_keys) in
-            job.partial_text_keys.iter().filter(|(at, _)| old || job.done[**at])
-        {
+        let is_late = self.ended_at.is_some_and(|at| now.since(at) > RESUME_MS);
+        let unneeded = job.partial_text_keys.iter().filter(|(at, _)| is_late || job.done[**at]);
+        for (at, chunks) in unneeded {
             keys.jobs.push(partial_key(id, &job.manifest.samples[*at].id));
-            keys.texts.extend(partial_text_keys.iter().cloned());
+            keys.texts.extend(chunks.iter().cloned());
         }
     }
 }
 
 impl Job {
-    /// The keys of all records of a job. As long as its head is there, what is
-    /// left can be found.
+    /// Returns the keys of all records of the job. As long as its manifest is
+    /// stored, the records that are left can be found.
     #[must_use]
     pub fn keys(&self, id: &str) -> Keys {
         let mut keys = Keys::default();
         keys.texts.extend(self.manifest.bundles.iter().map(|bundle| bundle.key.clone()));
-        for (at, partial_text_keys) in &self.partial_text_keys {
+        for (at, chunks) in &self.partial_text_keys {
             keys.jobs.push(partial_key(id, &self.manifest.samples[*at].id));
-            keys.texts.extend(partial_text_keys.iter().cloned());
+            keys.texts.extend(chunks.iter().cloned());
         }
-        for listed in &self.results {
-            keys.jobs.push(listed.key.clone());
-            let outcome = Outcome::decode(listed.value.clone()).ok();
+        for result in &self.results {
+            keys.jobs.push(result.key.clone());
+            let outcome = Outcome::decode(result.value.clone()).ok();
             keys.texts.extend(outcome.and_then(|outcome| outcome.text).map(|text| text.key));
         }
         for (key, text) in &self.duplicates {
             keys.jobs.push(key.clone());
             keys.texts.extend(text.clone());
         }
-        keys.heads.push([end_record(id).0, manifest_record(id, &Manifest::default()).0]);
+        keys.manifests.push([end_record(id).0, manifest_record(id, &Manifest::default()).0]);
         keys
     }
 }
--- a/crates/hollywell/src/core/batch/index.rs
+++ b/crates/hollywell/src/core/batch/index.rs
@@ -1,4 +1,5 @@
-//! The fold: all jobs of one partition, from its records in their order.
+//! Index of the jobs of one partition, folded from its records in offset
+//! order.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -14,73 +15,73 @@
 };
 use crate::core::room::{LIVE_OVERHEAD, LOG_OVERHEAD};
 
-/// One result at its position.
+/// The stored result of a sample.
 #[derive(Clone, Debug)]
 pub struct ResultRecord {
-    /// Offset of its record.
+    /// Offset of the record.
     pub offset: u64,
-    /// The record's key.
+    /// Key of the record.
     pub key: String,
-    /// The record's value, an [`Outcome`].
+    /// Value of the record, an encoded [`Outcome`].
     pub value: Bytes,
 }
 
-/// One job.
+/// A job.
 #[derive(Debug)]
 pub struct Job {
-    /// Its head.
+    /// Metadata of the job.
     pub manifest: Rc<Manifest>,
-    /// Position of each sample in the submission, by id.
+    /// Index of each sample in the submission, by id.
     pub index: HashMap<String, usize>,
-    /// Which samples are listed.
+    /// Which samples have a result, by index.
     pub done: Vec<bool>,
-    /// Results in their order.
+    /// Results in offset order.
     pub results: Vec<ResultRecord>,
-    /// How many samples of each group are not listed.
+    /// Number of samples of each group that have no result.
     incomplete: HashMap<String, usize>,
-    /// How many results there were each time that a group became whole.
+    /// Number of results at each moment when a group became complete.
     complete_groups_at: Vec<usize>,
-    /// Newest [`Partial`] of samples that are not listed. They outlive the
-    /// job's end for a while: a later step may ask for the same samples.
+    /// Newest [`Partial`] of samples without a result. Partial texts outlive
+    /// the job's end for a while, because a later step may request the same
+    /// samples.
     pub partials: HashMap<usize, Partial>,
-    /// Keys of all partial_text_keys of unfinished texts that were not dropped, by
-    /// sample.
+    /// Keys of the stored chunks of partial texts, by sample.
     pub(super) partial_text_keys: BTreeMap<usize, Vec<String>>,
-    /// Keys of results that came second, and of their texts.
+    /// Keys of duplicate results and of their texts.
     pub(super) duplicates: Vec<(String, Option<String>)>,
-    /// It was ended by its trainer.
+    /// True if the trainer ended the job.
     pub ended: bool,
-    /// Offset of its newest head.
+    /// Offset of the newest manifest.
     pub(super) offset: u64,
-    /// Bytes of its head and results in the store.
+    /// Bytes of the manifest and the results in the store.
     live: u64,
-    /// Bytes of its whole texts there.
+    /// Bytes of the complete texts in the store.
     texts: u64,
 }
 
 /// What a record changed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// A job can be run.
+    /// A job was submitted and can be run.
     Opened(String),
-    /// A sample of a job is listed.
+    /// The first result of a sample was stored.
     ResultStored(String, usize),
-    /// More of a sample's text is kept than before.
+    /// A longer partial text of a sample was stored.
     PartialStored(String, usize),
     /// A job was ended.
     Ended(String),
-    /// A job's records were dropped.
+    /// A job's records were deleted.
     Deleted(String),
-    /// A record that came before its job's submission makes no sense.
+    /// A record that was read before its job's submission is invalid.
     Skipped(Skip),
 }
 
-/// A record that cannot be folded; it is skipped.
+/// A record that cannot be folded and is skipped.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Skip {
-    /// The record's key.
+    /// Key of the record.
     pub key: String,
-    /// What is wrong with it.
+    /// Why the record is invalid.
     pub why: String,
 }
 
@@ -93,23 +94,24 @@
 /// All jobs of one partition.
 #[derive(Default)]
 pub struct Index {
-    /// By id.
+    /// Jobs by id.
     pub jobs: HashMap<String, Job>,
-    /// Results, texts and ends that were read before their job.
-    waiting: HashMap<String, Vec<Record>>,
-    /// Bytes that were written so far, as far as the records tell.
+    /// Results, partial texts and ends that were read before their job's
+    /// manifest.
+    orphans: HashMap<String, Vec<Record>>,
+    /// Bytes written so far, as counted from the records.
     pub written: Written,
 }
 
-/// Bytes that were written to a partition of jobs and to the partition of
-/// texts with the same number, with what the store adds to each record.
+/// Bytes that were written to a jobs partition and to the texts partition with
+/// the same number, including the store's overhead for each record.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Written {
-    /// In the partition of jobs.
+    /// Bytes in the jobs partition.
     pub jobs: u64,
-    /// In the partition of texts, whose records are named here.
+    /// Bytes in the texts partition, counted from the references to them.
     pub texts: u64,
-    /// The offset after the last text that was named.
+    /// Offset after the last text that a record refers to.
     pub texts_end: u64,
 }
 
@@ -127,12 +129,12 @@
 }
 
 impl Index {
-    /// Folds a record. Records must come in the order of their offsets; a
-    /// head may come again.
+    /// Folds a record. Records must come in offset order; a manifest may come
+    /// more than once.
     ///
     /// # Errors
     ///
-    /// [`Skip`] if the record cannot be understood.
+    /// Returns [`Skip`] if the record is invalid.
     pub fn apply(&mut self, record: &Record) -> Result<Vec<Change>, Skip> {
         let skip = |why: &str| Skip { key: record.key.clone(), why: why.to_owned() };
         let value_len = record.value.as_ref().map_or(0, Bytes::len);
@@ -144,24 +146,24 @@
         };
         let Some(value) = &record.value else {
             if kind == "s" {
-                self.waiting.remove(job);
+                self.orphans.remove(job);
                 let known = self.jobs.remove(job).is_some();
                 return Ok(if known { vec![Change::Deleted(job.to_owned())] } else { vec![] });
             }
             if kind == "p" {
                 self.delete_partial(job, parts.next().unwrap_or_default());
             }
-            if let Some(waiting) = self.waiting.get_mut(job) {
-                waiting.retain(|other| other.key != record.key);
+            if let Some(orphans) = self.orphans.get_mut(job) {
+                orphans.retain(|other| other.key != record.key);
             }
-            self.waiting.retain(|_, records| !records.is_empty());
+            self.orphans.retain(|_, records| !records.is_empty());
             return Ok(vec![]);
         };
         if kind == "s" {
             return self.open(job, record, value).map_err(|why| skip(&why));
         }
         let Some(entry) = self.jobs.get_mut(job) else {
-            self.waiting.entry(job.to_owned()).or_default().push(record.clone());
+            self.orphans.entry(job.to_owned()).or_default().push(record.clone());
             return Ok(vec![]);
         };
         match kind {
@@ -212,7 +214,7 @@
         }
     }
 
-    /// Notes that a sample's unfinished text was dropped.
+    /// Handles the tombstone of a sample's partial text.
     fn delete_partial(&mut self, job: &str, sample: &str) {
         let Some(job) = self.jobs.get_mut(job) else {
             return;
@@ -223,44 +225,48 @@
         }
     }
 
-    /// Drops jobs whose head's key is not `there`, of those that came before
-    /// `end`; their ids.
-    pub fn retain(&mut self, end: u64, there: impl Fn(&str) -> bool) -> Vec<String> {
-        let gone = |id: &&String, job: &Job| {
+    /// Removes the jobs submitted before offset `end` whose manifest's key does
+    /// not `exist`, and returns their ids.
+    pub fn retain(&mut self, end: u64, exists: impl Fn(&str) -> bool) -> Vec<String> {
+        let is_deleted = |id: &&String, job: &Job| {
             let (key, _) = manifest_record(id, &Manifest::default());
-            job.offset < end && !there(&key)
+            job.offset < end && !exists(&key)
         };
-        let gone: Vec<String> =
-            self.jobs.iter().filter(|(id, job)| gone(id, job)).map(|(id, _)| id.clone()).collect();
-        for id in &gone {
+        let deleted: Vec<String> = self
+            .jobs
+            .iter()
+            .filter(|(id, job)| is_deleted(id, job))
+            .map(|(id, _)| id.clone())
+            .collect();
+        for id in &deleted {
             self.jobs.remove(id);
         }
-        gone
+        deleted
     }
 
     fn open(&mut self, job: &str, record: &Record, value: &Bytes) -> Result<Vec<Change>, String> {
-        let mut head = Manifest::decode(value.clone()).map_err(|error| error.to_string())?;
-        for bundle in &head.bundles {
+        let mut manifest = Manifest::decode(value.clone()).map_err(|error| error.to_string())?;
+        for bundle in &manifest.bundles {
             self.written.text(bundle);
         }
         if let Some(job) = self.jobs.get_mut(job) {
-            // Two instances took the same submission in. The store keeps the
-            // newest head only, so its requests are those that everybody goes
-            // by; the job is as old as its first one.
-            head.at_ms = head.at_ms.min(job.manifest.at_ms);
-            job.manifest = Rc::new(head);
+            // Two instances accepted the same submission. The store retains
+            // only the newest manifest, so all instances use the bundles that
+            // it refers to. The job's age counts from the earliest one.
+            manifest.at_ms = manifest.at_ms.min(job.manifest.at_ms);
+            job.manifest = Rc::new(manifest);
             job.offset = record.offset;
             return Ok(vec![]);
         }
         let index: HashMap<String, usize> =
-            head.samples.iter().enumerate().map(|(at, s)| (s.id.clone(), at)).collect();
-        let done = vec![false; head.samples.len()];
+            manifest.samples.iter().enumerate().map(|(at, s)| (s.id.clone(), at)).collect();
+        let done = vec![false; manifest.samples.len()];
         let mut incomplete = HashMap::new();
-        for sample in &head.samples {
+        for sample in &manifest.samples {
             *incomplete.entry(sample.group.clone()).or_insert(0) += 1;
         }
         let entry = Job {
-            manifest: Rc::new(head),
+            manifest: Rc::new(manifest),
             index,
             done,
             results: vec![],
@@ -276,7 +282,7 @@
         };
         self.jobs.insert(job.to_owned(), entry);
         let mut changes = vec![Change::Opened(job.to_owned())];
-        for record in self.waiting.remove(job).unwrap_or_default() {
+        for record in self.orphans.remove(job).unwrap_or_default() {
             match self.apply(&record) {
                 Ok(more) => changes.extend(more),
                 Err(skip) => changes.push(Change::Skipped(skip)),
@@ -287,20 +293,20 @@
 }
 
 impl Job {
-    /// Bytes that its records take in the store, once what nothing needs is
-    /// dropped.
+    /// Bytes that the job's records occupy in the store once its garbage is
+    /// deleted.
     #[must_use]
     pub fn bytes(&self) -> u64 {
         let requests = self.manifest.bundles.iter().zip(self.needed_bundles());
         let requests = requests.filter(|(_, needed)| *needed);
         let requests: u64 = requests.map(|(bundle, _)| bundle.stored(LIVE_OVERHEAD)).sum();
-        let unfinished = self.partials.values().flat_map(|partial| &partial.texts);
-        let unfinished = unfinished.map(|text| text.stored(LIVE_OVERHEAD));
-        self.live + self.texts + requests + unfinished.sum::<u64>()
+        let partials = self.partials.values().flat_map(|partial| &partial.texts);
+        let partials = partials.map(|text| text.stored(LIVE_OVERHEAD));
+        self.live + self.texts + requests + partials.sum::<u64>()
     }
 
-    /// Which bundles of requests are needed: those of samples that are to be
-    /// run.
+    /// Which bundles of requests are needed, by index: those with samples that
+    /// are still to be run.
     #[must_use]
     pub fn needed_bundles(&self) -> Vec<bool> {
         let mut needed = vec![false; self.manifest.bundles.len()];
@@ -312,8 +318,8 @@
         needed
     }
 
-    /// Tokens of its listed samples and bytes of their results, from which
-    /// the size of others can be told.
+    /// Estimated tokens of the samples that have a result, and bytes of their
+    /// texts, to estimate the size of the texts to come.
     #[must_use]
     pub fn sizes(&self) -> (u64, u64) {
         let done = self.manifest.samples.iter().zip(&self.done).filter(|(_, done)| **done);
@@ -321,7 +327,7 @@
         (tokens, self.texts)
     }
 
-    /// Tokens of its samples that are to be run.
+    /// Estimated tokens of the samples that are still to be run.
     #[must_use]
     pub fn tokens_to_come(&self) -> u64 {
         if self.ended {
@@ -331,71 +337,72 @@
         open.map(|(sample, _)| u64::from(sample.tokens)).sum()
     }
 
-    /// Remembers the partial_text_keys of an unfinished text, for when they are to be
-    /// dropped. Two instances that run one sample keep partial_text_keys of their own.
+    /// Remembers the keys of a partial text's chunks, to delete them later.
+    /// Two instances that run the same sample store separate chunks.
     fn record_partial(&mut self, id: &str, index: usize, partial: &Partial) {
-        let partial_text_keys = self.partial_text_keys.entry(index).or_default();
-        let own = partial_text_prefix(id);
-        for text in partial.texts.iter().filter(|text| text.key.starts_with(&own)) {
-            if !partial_text_keys.contains(&text.key) {
-                partial_text_keys.push(text.key.clone());
+        let keys = self.partial_text_keys.entry(index).or_default();
+        let prefix = partial_text_prefix(id);
+        for text in partial.texts.iter().filter(|text| text.key.starts_with(&prefix)) {
+            if !keys.contains(&text.key) {
+                keys.push(text.key.clone());
             }
         }
     }
 
-    /// Notes a result that came second; the same record may come again.
+    /// Records a result whose sample already has one. The same record may be
+    /// read more than once.
     fn record_duplicate(&mut self, key: &str, outcome: Outcome) {
-        let first = self.results.iter().any(|listed| listed.key == key);
-        if first || self.duplicates.iter().any(|(other, _)| other == key) {
+        let is_first = self.results.iter().any(|result| result.key == key);
+        if is_first || self.duplicates.iter().any(|(other, _)| other == key) {
             return;
         }
-        // A result that was appended again, since the answer to its append
-        // was lost, names the same text.
-        let named = self.text_of(&outcome.id);
-        let text = outcome.text.map(|text| text.key).filter(|text| named.as_ref() != Some(text));
+        // A result that was appended again after the reply to its first append
+        // was lost refers to the same text, which is still needed.
+        let needed = self.text_of(&outcome.id);
+        let text = outcome.text.map(|text| text.key).filter(|text| needed.as_ref() != Some(text));
         self.duplicates.push((key.to_owned(), text));
     }
 
-    /// The key of a listed sample's text.
+    /// Returns the key of the text of a sample that has a result.
     fn text_of(&self, sample: &str) -> Option<String> {
         let mut outcomes =
-            self.results.iter().filter_map(|listed| Outcome::decode(listed.value.clone()).ok());
+            self.results.iter().filter_map(|result| Outcome::decode(result.value.clone()).ok());
         outcomes.find(|outcome| outcome.id == sample)?.text.map(|text| text.key)
     }
 
-    /// Counts a sample that was just listed. One without a group is a group
-    /// of its own.
+    /// Counts a sample whose result was just stored. A sample without a group
+    /// counts as a group by itself.
     fn count(&mut self, index: usize) {
         let group = &self.manifest.samples[index].group;
-        let whole = match self.incomplete.get_mut(group) {
+        let is_complete = match self.incomplete.get_mut(group) {
             Some(left) if !group.is_empty() => {
                 *left = left.saturating_sub(1);
                 *left == 0
             }
             _ => true,
         };
-        if whole {
+        if is_complete {
             self.complete_groups_at.push(self.results.len());
         }
     }
 
-    /// Whether results from a position on are worth an answer to whoever
-    /// waits for whole groups: they complete half of the groups, of those
-    /// that the trainer waits for, that were missing before; or they are all
-    /// that is to come.
+    /// Returns true if the results from position `after` on are worth an
+    /// answer to a trainer that waits for complete groups: if they complete at
+    /// least half of the wanted groups that were incomplete before, or if no
+    /// more results are to come.
     #[must_use]
     pub fn is_worth_answering(&self, after: usize) -> bool {
-        let whole = self.complete_groups_at.len();
+        let complete = self.complete_groups_at.len();
         let before = self.complete_groups_at.partition_point(|len| *len <= after);
         let wanted = match usize::try_from(self.manifest.groups_wanted).unwrap_or(usize::MAX) {
             0 => self.incomplete.len(),
             wanted => wanted,
         };
         let missing = wanted.saturating_sub(before).max(1);
-        self.is_complete() || whole - before >= missing.div_ceil(2)
+        self.is_complete() || complete - before >= missing.div_ceil(2)
     }
 
-    /// Whether every sample is listed.
+    /// Returns true if every sample has a result.
     #[must_use]
     pub fn is_complete(&self) -> bool {
         self.results.len() == self.done.len()
--- a/crates/hollywell/src/core/batch/mod.rs
+++ b/crates/hollywell/src/core/batch/mod.rs
@@ -1,19 +1,19 @@
-//! Batch jobs as every instance folds them from the store.
+//! Batch jobs, as every instance folds them from the store.
 //!
-//! All records of a job lie in one partition of a keyed topic, each under a
-//! key of its own, so the store keeps them for good and their order is the
-//! same for everybody. A job's results stand at the positions in which their
-//! first records came. Two instances may append a result of one sample; the
-//! first record wins at every reader, which is why no fencing is needed for
-//! results and a zombie can do no harm. (Fencing producers was weighed: it
-//! costs a call at each change of owner and an owner's results would be lost
-//! with its epoch.)
+//! All records of a job are in one partition of a keyed topic, each under its
+//! own key, so the store retains them until they are deleted, and all readers
+//! see them in the same order. A job's results are ordered by the offset of
+//! each sample's first result record. Two instances may append a result for
+//! the same sample; every reader takes the first record. Results therefore
+//! need no fencing, and a stale instance cannot corrupt them. Fencing the
+//! producers was considered and rejected: it costs a call at each change of
+//! owner, and an owner's results would be lost with its epoch.
 //!
-//! This module spells the records; `index` folds them, `garbage` says which of
-//! them nothing needs any more.
+//! This module encodes the records, `index` folds them, and `garbage` selects
+//! the records that are no longer needed.
 //!
-//! What it leaves out: who runs what ([`crate::core::dispatch`]) and the
-//! store itself.
+//! Not part of this module: which instance runs which samples
+//! ([`crate::core::dispatch`]), and access to the store.
 
 mod garbage;
 mod index;
@@ -29,16 +29,16 @@
 /// A request that scores a finished sample.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct Scorer {
-    /// The request's id.
+    /// Request id.
     #[prost(string, tag = "1")]
     pub id: String,
-    /// The host that selects its route.
+    /// Host that selects the route.
     #[prost(string, tag = "2")]
     pub host: String,
-    /// Its path.
+    /// Request path.
     #[prost(string, tag = "3")]
     pub path: String,
-    /// Its body.
+    /// Request body.
     #[prost(bytes = "bytes", tag = "4")]
     pub body: Bytes,
 }
@@ -46,44 +46,44 @@
 /// A header of a sample's request.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct Header {
-    /// Its name.
+    /// Header name.
     #[prost(string, tag = "1")]
     pub name: String,
-    /// Its value.
+    /// Header value.
     #[prost(string, tag = "2")]
     pub value: String,
 }
 
-/// One sample to be generated.
+/// A sample to generate.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct Sample {
-    /// Its id; the id of the request for tokens too.
+    /// Sample id; also the id of its generation request.
     #[prost(string, tag = "1")]
     pub id: String,
-    /// The path of that request.
+    /// Path of the generation request.
     #[prost(string, tag = "2")]
     pub path: String,
-    /// Headers of that request.
+    /// Headers of the generation request.
     #[prost(message, repeated, tag = "3")]
     pub headers: Vec<Header>,
-    /// Its body.
+    /// Body of the generation request.
     #[prost(bytes = "bytes", tag = "4")]
     pub body: Bytes,
-    /// Samples of one group share their prompt.
+    /// Group of the sample. Samples of a group share a prompt.
     #[prost(string, tag = "5")]
     pub group: String,
-    /// Estimate of the number of tokens that it will take.
+    /// Estimated number of tokens to generate.
     #[prost(uint32, tag = "6")]
     pub tokens_hint: u32,
-    /// The request that scores it, if any.
+    /// Request that scores the sample, if any.
     #[prost(message, optional, tag = "7")]
     pub scorer: Option<Scorer>,
 }
 
-/// Samples that lie in the store together.
+/// Samples that are stored in one record.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct Bundle {
-    /// The samples.
+    /// Samples of this bundle.
     #[prost(message, repeated, tag = "1")]
     pub samples: Vec<Sample>,
 }
@@ -91,162 +91,170 @@
 /// A batch job as it was submitted.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Submission {
-    /// The trainer's step, if a trainer submitted it.
+    /// Trainer's step, if a trainer submitted the job.
     pub step: u64,
-    /// The model that generates its text.
+    /// Model that generates the text.
     pub model: String,
-    /// The oldest version of the weights that may generate it.
+    /// Oldest weight version that may generate the text.
     pub min_version: u64,
-    /// How many whole groups the trainer waits for.
+    /// Number of complete groups that the trainer waits for.
     pub groups_wanted: u64,
     /// All samples.
     pub samples: Vec<Sample>,
 }
 
 impl Submission {
-    /// Drops headers of all samples, named in lower case, that are not the
-    /// caller's to set.
+    /// Removes the named headers from all samples: callers may not set them.
+    /// The names must be in lower case.
     pub fn drop_headers(&mut self, names: &[&str]) {
-        let is_own = |header: &Header| names.contains(&header.name.to_ascii_lowercase().as_str());
+        let is_reserved =
+            |header: &Header| names.contains(&header.name.to_ascii_lowercase().as_str());
         for sample in &mut self.samples {
-            sample.headers.retain(|header| !is_own(header));
+            sample.headers.retain(|header| !is_reserved(header));
         }
     }
 }
 
-/// Where a whole text lies in the store.
+/// Reference to a text in the store.
 ///
-/// Texts have a topic of their own and are written before the result that
-/// names them: every instance folds all results, and reads a text only when
-/// a caller of its own asks for it. With the texts in the results an
-/// instance that started read the texts of all jobs, four duplicates' worth.
+/// Texts have their own topic and are written before the result that refers
+/// to them. Every instance folds all results, but reads a text only when one
+/// of its own callers requests it. When the results contained the texts, a
+/// starting instance spent four seconds reading the texts of all jobs.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct TextRef {
-    /// The partition of texts: the one with the job's number, or, for a text
-    /// that an earlier step left, with that step's.
+    /// Partition of the texts topic. It has the same number as the job's
+    /// partition or, for a text left by an earlier step, as that step's.
     #[prost(uint32, tag = "1")]
     pub part: u32,
-    /// Offset of its record there.
+    /// Offset of the record in that partition.
     #[prost(uint64, tag = "2")]
     pub offset: u64,
-    /// The record's key, for when the history around it is gone.
+    /// Key of the record, to read it after the log around it was trimmed.
     #[prost(string, tag = "3")]
     pub key: String,
-    /// Its length, in bytes.
+    /// Length of the text in bytes.
     #[prost(uint32, tag = "4")]
     pub len: u32,
 }
 
 impl TextRef {
-    /// Names a text that was appended.
+    /// Creates a reference to a text that was appended.
     #[must_use]
     pub fn new(part: u32, offset: u64, key: String, text: &[u8]) -> TextRef {
         TextRef { part, offset, key, len: u32::try_from(text.len()).unwrap_or(u32::MAX) }
     }
 
-    /// Bytes that it takes in the store, with what is added to each record.
+    /// Bytes that the text occupies in the store, including the overhead of a
+    /// record.
     #[must_use]
     pub fn stored(&self, overhead: u64) -> u64 {
         u64::from(self.len) + self.key.len() as u64 + overhead
     }
 
-    /// Its length, in bytes.
+    /// Length of the text in bytes.
     #[must_use]
     pub fn bytes(&self) -> usize {
         usize::try_from(self.len).unwrap_or(usize::MAX)
     }
 }
 
-/// A sample's result, as it lies in the store.
+/// Result of a sample, as stored.
 ///
-/// What every instance folds is encoded as briefly as a library does it: as
-/// JSON the results of a minute were 2 MB, and a fleet that started together
-/// waited 1.3 s for the store to hand them to each.
+/// Every instance folds all results, so the encoding is compact: as JSON, the
+/// results of a minute took 2 MB, and a fleet that started at once waited
+/// 1.3 s for the store to send them to every instance.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct Outcome {
-    /// The sample's id.
+    /// Sample id.
     #[prost(string, tag = "1")]
     pub id: String,
-    /// It was given up; else its text is whole and scored.
+    /// True if the sample was given up; otherwise its text is complete and
+    /// scored.
     #[prost(bool, tag = "2")]
     pub abandoned: bool,
-    /// Where its text lies; none where it was given up.
+    /// Reference to the text; `None` if the sample was given up.
     #[prost(message, optional, tag = "3")]
     pub text: Option<TextRef>,
-    /// All versions that generated an event of the text, ascending.
+    /// All weight versions that generated an event of the text, ascending.
     #[prost(uint64, repeated, tag = "4")]
     pub versions: Vec<u64>,
-    /// The signature of its score.
+    /// Signature of the score.
     #[prost(string, optional, tag = "5")]
     pub score: Option<String>,
 }
 
-/// What every instance keeps of a sample.
+/// Metadata of a sample, which every instance keeps.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct SampleMeta {
-    /// Its id.
+    /// Sample id.
     #[prost(string, tag = "1")]
     pub id: String,
-    /// Its group.
+    /// Group of the sample.
     #[prost(string, tag = "2")]
     pub group: String,
-    /// Estimate of the number of tokens that it will take.
+    /// Estimated number of tokens to generate.
     #[prost(uint32, tag = "3")]
     pub tokens: u32,
-    /// Position in the job's bundles of the one that it lies in.
+    /// Index of the bundle, within the job's bundles, that contains the
+    /// sample's request.
     #[prost(uint32, tag = "4")]
     pub bundle: u32,
-    /// Its position in that bundle.
+    /// Index of the sample within that bundle.
     #[prost(uint32, tag = "5")]
     pub at: u32,
 }
 
-/// A job as every instance folds it: all but the samples' requests, which
-/// lie in bundles and are read by whoever runs them. With the requests in
-/// the record, 84 instances read each of them 84 times, and the store's
-/// bandwidth was gone.
+/// Metadata of a job, which every instance folds.
+///
+/// The samples' requests are stored in bundles and read only by the instances
+/// that run them. When the manifest contained the requests, 84 instances read
+/// each of them 84 times, which used up the store's bandwidth.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct Manifest {
-    /// The host of the route that it came on.
+    /// Host of the route on which the job was submitted.
     #[prost(string, tag = "1")]
     pub host: String,
-    /// The path that it was submitted under.
+    /// Path on which the job was submitted.
     #[prost(string, tag = "2")]
     pub path: String,
-    /// Time of day at its first acceptance, in milliseconds since 1970.
+    /// Time of day at which the job was first accepted, in milliseconds since
+    /// the Unix epoch.
     #[prost(uint64, tag = "3")]
     pub at_ms: u64,
-    /// The trainer's step.
+    /// Trainer's step.
     #[prost(uint64, tag = "4")]
     pub step: u64,
-    /// The model that generates its text.
+    /// Model that generates the text.
     #[prost(string, tag = "5")]
     pub model: String,
-    /// The oldest version of the weights that may generate it.
+    /// Oldest weight version that may generate the text.
     #[prost(uint64, tag = "6")]
     pub min_version: u64,
-    /// How many whole groups the trainer waits for.
+    /// Number of complete groups that the trainer waits for.
     #[prost(uint64, tag = "7")]
     pub groups_wanted: u64,
-    /// Its samples.
+    /// Metadata of the samples.
     #[prost(message, repeated, tag = "8")]
     pub samples: Vec<SampleMeta>,
-    /// Where the samples' requests lie.
+    /// References to the bundles of the samples' requests.
     #[prost(message, repeated, tag = "9")]
     pub bundles: Vec<TextRef>,
-    /// The organisation whose job it is; empty if it is anybody's.
+    /// Organisation that owns the job; empty if no organisation does and
+    /// every caller may use it.
     #[prost(string, tag = "10")]
     pub organisation: String,
 }
 
-/// How far the times of day of two machines may be apart, in milliseconds:
-/// they differ by little, but may jump by duplicates and back.
+/// Largest difference between the times of day of two machines that is
+/// tolerated, in milliseconds. Clocks usually differ by little, but they may
+/// jump by seconds and back.
 pub const MAX_CLOCK_SKEW_MS: u64 = 10_000;
 
-/// How long from now a job's samples must not be given up yet, in
-/// milliseconds, where they are kept for `keep_ms` from its submission. The
-/// submission was timed by another machine's clock, so the doubt is in the
-/// samples' favour.
+/// Returns how long a job's samples must still be retained, in milliseconds,
+/// given that they are retained for `keep_ms` from the job's submission. The
+/// submission was timed by another machine's clock, so the result includes
+/// [`MAX_CLOCK_SKEW_MS`], to err on the side of retaining.
 ///
 /// # Example
 ///
@@ -254,7 +262,7 @@
 /// use hollywell::core::batch::{MAX_CLOCK_SKEW_MS, retention_left_ms};
 ///
 /// assert_eq!(retention_left_ms(40_000, 1_000, 31_000), 10_000 + MAX_CLOCK_SKEW_MS);
-/// // A clock that jumped ahead by less than that gives nothing up early.
+/// // A clock that jumps ahead by less than the skew gives up no sample early.
 /// assert!(retention_left_ms(40_000, 1_000, 48_000) > 0);
 /// ```
 #[must_use]
@@ -263,8 +271,9 @@
     keep_ms.saturating_add(MAX_CLOCK_SKEW_MS).saturating_sub(age_ms)
 }
 
-/// Cuts a submission into bundles of one group each, smaller than
-/// `max_bytes` where one sample is; the head says where each sample went.
+/// Splits a submission into bundles and returns them with the metadata that
+/// locates each sample. A bundle has samples of one group only, and at most
+/// `max_bytes` unless a single sample is larger.
 #[must_use]
 pub fn bundle(submission: &Submission, max_bytes: usize) -> (Vec<SampleMeta>, Vec<Bundle>) {
     let mut bundles: Vec<Bundle> = Vec::new();
@@ -291,51 +300,54 @@
     (briefs, bundles)
 }
 
-/// Bytes that a sample takes in a bundle besides its own encoding.
+/// Bytes that a sample adds to a bundle besides its own encoding.
 const SAMPLE_OVERHEAD: usize = 8;
 
-/// A record of the store, as the fold takes it.
+/// A record of the store, as input of the fold.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Record {
-    /// Its offset in the partition.
+    /// Offset in the partition.
     pub offset: u64,
-    /// Its key.
+    /// Key of the record.
     pub key: String,
-    /// Its value; `None` where the key was dropped.
+    /// Value of the record; `None` for a tombstone.
     pub value: Option<Bytes>,
 }
 
-/// Separates the parts of a key. Ids may not contain it.
+/// Separator between the parts of a key. Ids may not contain it.
 const SEPARATOR: char = '|';
 
-/// Longest id that leaves room for the rest of a key.
+/// Length of the longest id, in bytes, that leaves space for the other parts
+/// of a key.
 pub const MAX_ID_LEN: usize = 100;
 
-/// Says whether an id can be part of a key.
+/// Returns true if `id` can be part of a key.
 #[must_use]
 pub fn is_id(id: &str) -> bool {
     !id.is_empty() && id.len() <= MAX_ID_LEN && !id.contains(SEPARATOR)
 }
 
-/// What all keys of a job begin with, and nothing else; it sorts before them.
+/// Returns the prefix that all keys of a job share and no other key has. It
+/// sorts before all of them.
 #[must_use]
 pub fn key_prefix(job: &str) -> String {
     format!("{job}{SEPARATOR}")
 }
 
-/// The record that makes a submission a job: from then on it is kept.
+/// Returns the record that makes a submission a job. Once it is stored, the
+/// job is durable.
 #[must_use]
-pub fn manifest_record(job: &str, head: &Manifest) -> (String, Bytes) {
-    (format!("{job}{SEPARATOR}s"), Bytes::from(head.encode_to_vec()))
+pub fn manifest_record(job: &str, manifest: &Manifest) -> (String, Bytes) {
+    (format!("{job}{SEPARATOR}s"), Bytes::from(manifest.encode_to_vec()))
 }
 
-/// The key of a bundle. `writer` tells appends apart.
+/// Returns the key of a bundle. `writer` must differ between appends.
 #[must_use]
 pub fn bundle_key(job: &str, writer: &str) -> String {
     format!("{job}{SEPARATOR}b{SEPARATOR}{writer}")
 }
 
-/// The key of a whole text. `writer` tells appends apart.
+/// Returns the key of a complete text. `writer` must differ between appends.
 #[must_use]
 pub fn text_key(job: &str, writer: &str, sample: &str) -> String {
     format!("{job}{SEPARATOR}t{SEPARATOR}{writer}{SEPARATOR}{sample}")
@@ -345,64 +357,67 @@
     format!("{job}{SEPARATOR}p{SEPARATOR}{sample}")
 }
 
-/// The record of a result. `writer` tells incarnations of instances apart.
+/// Returns the record of a result. `writer` must differ between incarnations
+/// of instances.
 #[must_use]
 pub fn outcome_record(job: &str, writer: &str, outcome: &Outcome) -> (String, Bytes) {
     let key = format!("{job}{SEPARATOR}r{SEPARATOR}{writer}{SEPARATOR}{}", outcome.id);
     (key, Bytes::from(outcome.encode_to_vec()))
 }
 
-/// Text of a sample that is not whole yet, kept so that whoever runs the
-/// sample next goes on where this ends.
+/// Text of a sample that is not complete yet, stored so that the next attempt
+/// at the sample resumes from its end.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct Partial {
     /// Number of the last event in the text.
     #[prost(uint64, tag = "1")]
     pub last: u64,
-    /// Where the data of all events so far lies: partial_text_keys that follow each
-    /// other. Each was stored once; with the whole text stored anew each time
-    /// that it had grown, this was more than half of all that was stored.
+    /// References to the data of all events so far, as consecutive chunks.
+    /// Each chunk is stored once: when the text was stored again as a whole
+    /// each time that it grew, it made up more than half of all stored bytes.
     #[prost(message, repeated, tag = "2")]
     pub texts: Vec<TextRef>,
-    /// All versions that generated an event of it, ascending.
+    /// All weight versions that generated an event of the text, ascending.
     #[prost(uint64, repeated, tag = "3")]
     pub versions: Vec<u64>,
 }
 
 impl Partial {
-    /// Whether its text was kept for a job, not for an earlier one that had
-    /// the same sample.
+    /// Returns true if the text was stored for `job`, not for an earlier job
+    /// that had the same sample.
     #[must_use]
     pub fn belongs_to(&self, job: &str) -> bool {
-        let own = partial_text_prefix(job);
-        self.texts.iter().all(|text| text.key.starts_with(&own))
+        let prefix = partial_text_prefix(job);
+        self.texts.iter().all(|text| text.key.starts_with(&prefix))
     }
 
-    /// Whether a job that allows `min_version` and newer may use it.
+    /// Returns true if a job that allows `min_version` and newer may use the
+    /// text.
     #[must_use]
     pub fn is_allowed(&self, min_version: u64) -> bool {
         self.versions.iter().all(|version| *version >= min_version)
     }
 }
 
-/// The key of a piece of an unfinished text. `writer` tells appends apart.
+/// Returns the key of a chunk of a partial text. `writer` must differ between
+/// appends.
 #[must_use]
 pub fn partial_text_key(job: &str, writer: &str, sample: &str) -> String {
     format!("{}{writer}{SEPARATOR}{sample}", partial_text_prefix(job))
 }
 
-/// What the keys of all partial_text_keys of a job's unfinished texts begin with.
+/// Returns the prefix of the keys of all chunks of a job's partial texts.
 fn partial_text_prefix(job: &str) -> String {
     format!("{job}{SEPARATOR}q{SEPARATOR}")
 }
 
-/// The record of a sample's text so far. A later one replaces it.
+/// Returns the record of a sample's text so far. It replaces earlier ones.
 #[must_use]
 pub fn partial_record(job: &str, sample: &str, partial: &Partial) -> (String, Bytes) {
     (partial_key(job, sample), Bytes::from(partial.encode_to_vec()))
 }
 
-/// The record of a job's end.
+/// Returns the record that ends a job.
 #[must_use]
 pub fn end_record(job: &str) -> (String, Bytes) {
     (format!("{job}{SEPARATOR}e"), Bytes::from_static(b"1"))
--- a/crates/hollywell/src/entry/clean.rs
+++ b/crates/hollywell/src/entry/clean.rs
@@ -148,7 +148,7 @@
             continue;
         };
         let mut after_drop = None;
-        let keys = if spare.is_over(job, now, wall_ms, terms) {
+        let keys = if spare.is_expired(job, now, wall_ms, terms) {
             job.keys(id)
         } else {
             let (keys, after) = spare.next(id, job, now);
@@ -165,7 +165,7 @@
         }
         due.keys.jobs.extend(keys.jobs);
         due.keys.texts.extend(keys.texts);
-        due.keys.heads.extend(keys.heads);
+        due.keys.manifests.extend(keys.manifests);
     }
     // What was read before it is due says nothing.
     let read_at = world.shelves[part].read_at;
@@ -206,7 +206,7 @@
     }
     let jobs = Part::at(JOBS, part);
     drop_keys(shared, &jobs, &due.keys.jobs).await?;
-    for some in due.keys.heads.chunks(AT_ONCE / 2) {
+    for some in due.keys.manifests.chunks(AT_ONCE / 2) {
         drop_keys(shared, &jobs, some.as_flattened()).await?;
     }
     Ok(())
--- a/crates/hollywell/tests/spare.rs
+++ b/crates/hollywell/tests/spare.rs
@@ -160,12 +160,12 @@
 fn an_open_job_is_never_over_and_an_ended_one_only_after_what_was_promised() {
     let (mut world, spare) = (World::new(), Garbage::new(Time(0)));
     let late = (Time(10_000_000), 10_000_000);
-    assert!(!spare.is_over(&world.book.jobs["j"], late.0, late.1, TERMS));
+    assert!(!spare.is_expired(&world.book.jobs["j"], late.0, late.1, TERMS));
     world.append(end_record("j"));
     let job = &world.book.jobs["j"];
-    assert!(!spare.is_over(job, Time(119_999), 121_000, TERMS), "clocks may be apart");
-    assert!(spare.is_over(job, Time(119_999), 131_001, TERMS), "or it started since");
-    assert!(spare.is_over(job, Time(120_001), 0, TERMS));
+    assert!(!spare.is_expired(job, Time(119_999), 121_000, TERMS), "clocks may be apart");
+    assert!(spare.is_expired(job, Time(119_999), 131_001, TERMS), "or it started since");
+    assert!(spare.is_expired(job, Time(120_001), 0, TERMS));
 }
 
 #[test]
@@ -177,7 +177,7 @@
     world.append(end_record("j"));
     let keys = world.book.jobs["j"].keys("j");
     let pair = [end_record("j").0, manifest_record("j", &Manifest::default()).0];
-    assert_eq!(keys.heads, std::slice::from_ref(&pair), "together, whatever else there is");
+    assert_eq!(keys.manifests, std::slice::from_ref(&pair), "together, whatever else there is");
     assert!(!keys.jobs.contains(&pair[0]) && !keys.jobs.contains(&pair[1]));
     for wanted in [bundle_key("j", "b0"), text_key("j", "a", "s0"), text_key("j", "b", "s0")] {
         assert!(keys.texts.contains(&wanted), "{wanted}");
