--- a/crates/hollywell/src/core/owner/handoff.rs
+++ b/crates/hollywell/src/core/owner/handoff.rs
@@ -1,4 +1,4 @@
-//! What members hand over to each other at a change of the map.
+//! State that members hand over to each other when the map changes.
 
 use std::collections::BTreeSet;
 
@@ -7,21 +7,22 @@
 use super::Map;
 use crate::core::{claim::Copy, id::Instance, time::Time};
 
-/// What a member tells the others when it has read a newer map.
+/// The message that a member sends to the others once it has read a newer map.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Handoff {
-    /// The epoch that it hands over to.
+    /// Epoch of the newer map.
     pub epoch: u64,
-    /// The last epoch in which it was active, if any.
+    /// Last epoch in which the sender was active, if any.
     pub last_active: Option<u64>,
-    /// Incarnations under which the sender was removed earlier in its run.
+    /// Earlier incarnations of the sender's current run, which were removed
+    /// from the map.
     #[serde(default, rename = "formerly")]
     pub former_ids: Vec<Instance>,
-    /// Replaced maps that it remembers, oldest first.
+    /// Replaced maps that the sender remembers, oldest first.
     pub history: Vec<ReplacedCopy>,
-    /// Keys that may have run.
+    /// Claims on keys that may have run.
     pub copies: Vec<Copy>,
-    /// Keys of which it knows that nobody knows.
+    /// Sets of keys whose claims the sender knows to be lost.
     #[serde(rename = "blind")]
     pub claim_losses: Vec<ClaimLossCopy>,
 }
@@ -30,7 +31,8 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct Replaced {
     pub(super) map: Map,
-    /// When it was read here, or heard, that it was replaced.
+    /// When this instance read from the log, or was told by a peer, that the
+    /// map was replaced.
     pub(super) at: Time,
 }
 
@@ -43,14 +45,14 @@
     pub ago_ms: u64,
 }
 
-/// Keys whose claims were lost with their owner and replica.
+/// Keys whose claims were lost together with their owner and replica.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct ClaimLoss {
     /// The map in which the claims may have been made.
     pub(super) map: Map,
-    /// The members that handed over.
+    /// The members that handed over their claims.
     pub(super) sources: BTreeSet<Instance>,
-    /// When no caller sends those keys any longer.
+    /// When callers have stopped retrying these keys.
     pub(super) until: Time,
 }
 
@@ -70,14 +72,14 @@
     }
 }
 
-/// [`ClaimLoss`] as handed from one instance to another.
+/// A [`ClaimLoss`] as handed from one instance to another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimLossCopy {
     /// The map in which the claims may have been made.
     pub map: Map,
-    /// The members that handed over.
+    /// The members that handed over their claims.
     #[serde(rename = "heirs")]
     pub sources: BTreeSet<Instance>,
-    /// Milliseconds until no caller sends those keys any longer.
+    /// Milliseconds until callers have stopped retrying these keys.
     pub left_ms: u64,
 }
--- a/crates/hollywell/src/core/owner/map.rs
+++ b/crates/hollywell/src/core/owner/map.rs
@@ -1,5 +1,5 @@
-//! Ownership maps: who shares a failure domain's keys, and which member owns
-//! which key.
+//! Ownership maps: the members that share a failure domain's keys, and which
+//! member owns which key.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,28 +11,30 @@
 /// The members that share a failure domain's keys.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Map {
-    /// Offset of the record that installed it.
+    /// Offset of the record that installed this map.
     pub epoch: u64,
-    /// Epoch of the map that it replaced, if any.
+    /// Epoch of the map that this one replaced, if any.
     pub base: Option<u64>,
-    /// The members.
+    /// Instances that share the keys.
     pub members: BTreeSet<Instance>,
 }
 
 impl Map {
-    /// The member that owns `key`.
+    /// Returns the member that owns `key`.
     #[must_use]
     pub fn owner(&self, key: &str) -> Option<&Instance> {
         self.ranked(key).map(|(owner, _)| owner)
     }
 
-    /// The member that keeps a copy of the owner's claim on `key`; `None`
-    /// where the map has fewer than two members.
+    /// Returns the member that keeps a copy of the owner's claim on `key`, or
+    /// `None` if the map has fewer than two members.
     #[must_use]
     pub fn replica(&self, key: &str) -> Option<&Instance> {
         self.ranked(key).and_then(|(_, replica)| replica)
     }
 
+    /// The two members with the highest scores for `key`: its owner and, if
+    /// the map has two members, its replica.
     fn ranked(&self, key: &str) -> Option<(&Instance, Option<&Instance>)> {
         let key_hash = xxh3_64_with_seed(key.as_bytes(), 0);
         let mut best: Option<(u64, &Instance)> = None;
@@ -50,7 +52,8 @@
         best.map(|(_, owner)| (owner, second.map(|(_, replica)| replica)))
     }
 
-    /// True if one of `sources` knows every claim on `key` made in this map.
+    /// Returns true if one of `sources` knows every claim on `key` that was
+    /// made under this map.
     pub(super) fn covers(&self, key: &str, sources: &BTreeSet<Instance>) -> bool {
         self.ranked(key).is_some_and(|(owner, replica)| {
             sources.contains(owner) || replica.is_some_and(|replica| sources.contains(replica))
@@ -61,15 +64,15 @@
 /// A proposed map, as a record on the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Proposal {
-    /// The failure domain whose keys the map shares out.
+    /// Failure domain whose keys the map distributes.
     pub domain: String,
-    /// Epoch of the map that it replaces; `None` for the first.
+    /// Epoch of the map to replace; `None` for the first map.
     pub base: Option<u64>,
-    /// The proposed members.
+    /// Proposed members.
     pub members: BTreeSet<Instance>,
 }
 
-/// The maps of all failure domains, folded from the log.
+/// The current maps of all failure domains, folded from the log.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Maps(pub BTreeMap<String, Map>);
@@ -77,8 +80,8 @@
 impl Maps {
     /// Folds the proposal at `offset` and returns true if it was accepted.
     ///
-    /// The first proposal on a base wins; the others are rejected, and so is
-    /// an empty one.
+    /// The first proposal for a base wins; later ones are rejected, and so are
+    /// proposals without members.
     pub fn apply(&mut self, offset: u64, proposal: &Proposal) -> bool {
         let current = self.0.get(&proposal.domain);
         let current_epoch = current.map(|map| map.epoch);
--- a/crates/hollywell/src/core/owner/mod.rs
+++ b/crates/hollywell/src/core/owner/mod.rs
@@ -1,30 +1,33 @@
-//! Which instance owns an idempotency key, and when it may act on it.
+//! Ownership of idempotency keys: which instance owns a key, and when it may
+//! act as its owner.
 //!
-//! Keys belong to a failure domain, and within it to one instance by
-//! rendezvous hashing (Thaler and Ravishankar, 1998) over a [`Map`] of
-//! members. Maps change only by a record on the platform's log: each names
-//! the map that it replaces, and the fold takes the first and rejects the
-//! rest. The record's offset is the map's epoch.
+//! A key belongs to a failure domain, and within the domain to one instance,
+//! which rendezvous hashing (Thaler and Ravishankar, 1998) selects from the
+//! members of a [`Map`]. A map changes only through a record on the platform's
+//! log. Each record names the map that it replaces; the fold accepts the first
+//! record for a map and rejects the others. The record's offset is the new
+//! map's epoch.
 //!
-//! A member acts in an epoch only between [`State::activate`] and reading of
-//! a newer map, and only while it holds a lease ([`State::lease_until`]):
+//! A member acts in an epoch only between [`State::activate`] and reading a
+//! newer map, and only while it holds a lease ([`State::lease_until`]). It
+//! holds one if
 //!
-//! * a read of the log that reached its end and was sent less than
-//!   [`Config::lease_ms`] ago showed no newer map, or
-//! * every other member has said, in answer to a message sent less than
-//!   `lease_ms` ago, that it knows no newer map, and the log was reached
-//!   less than [`Config::log_away_ms`] ago.
+//! * a read of the log that was sent less than [`Config::lease_ms`] ago
+//!   reached the end of the log and showed no newer map, or
+//! * every other member has promised, in reply to a message sent less than
+//!   `lease_ms` ago, that it knows no newer map, and the log was last read to
+//!   its end less than [`Config::log_away_ms`] ago.
 //!
-//! A member of a newer map becomes active once it has heard a [`Handoff`]
-//! from every member that stays, or has waited for it in vain for a while,
-//! and, if a member that did not hand over was removed, once that one's lease
-//! must have run out. For an earlier map of
-//! which no member stays it waits until `log_away_ms` after it read that the
-//! map was replaced. Keys of which nobody left knows anything
-//! are answered "unknown" for the callers' retry horizon ([`ClaimLossCopy`]).
+//! A member of a newer map becomes active once it has received a [`Handoff`]
+//! from every member that stays, or has waited for one until a timeout. If a
+//! member was removed without handing over, it also waits until that member's
+//! lease must have expired. For an earlier map of which no member stays, it
+//! waits until `log_away_ms` after it read that the map was replaced. Keys
+//! whose claims no remaining member knows are answered with "unknown" until
+//! the callers' retry horizon has passed ([`ClaimLossCopy`]).
 //!
-//! What it leaves out: the claims themselves ([`crate::core::claim`]), and
-//! when to propose a new map (the reducer does, from membership).
+//! Not part of this module: the claims themselves ([`crate::core::claim`]),
+//! and when to propose a new map (the reducer decides that from membership).
 
 mod handoff;
 mod map;
@@ -38,21 +41,22 @@
 pub use handoff::{ClaimLossCopy, Handoff, ReplacedCopy};
 pub use map::{Map, Maps, Proposal};
 
-/// How many replaced maps are remembered.
+/// Number of replaced maps that are remembered.
 const HISTORY_LIMIT: usize = 64;
 
-/// Times that ownership is held and handed over by.
+/// Durations that govern leases and hand-overs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Config {
-    /// How long one confirmation lets a member act, in milliseconds.
+    /// Duration of a lease, from its confirmation, in milliseconds.
     pub lease_ms: u64,
-    /// Added to every wait for another's lease, for clock drift, in
-    /// milliseconds.
+    /// Allowance for clock drift that is added to every wait for another
+    /// member's lease, in milliseconds.
     pub guard_ms: u64,
-    /// How long members may go on by promises alone while the log is away,
-    /// in milliseconds.
+    /// How long members may renew their leases by promises alone while the log
+    /// is unavailable, in milliseconds.
     pub log_away_ms: u64,
-    /// How long callers may send a key again, in milliseconds.
+    /// The callers' retry horizon: how long they may send a key again, in
+    /// milliseconds.
     pub horizon_ms: u64,
 }
 
@@ -62,7 +66,7 @@
     }
 }
 
-/// One instance's place in its own failure domain's ownership.
+/// One instance's state in the ownership protocol of its failure domain.
 #[derive(Clone, Debug)]
 pub struct State {
     config: Config,
@@ -74,8 +78,8 @@
     history: Vec<Replaced>,
     active: bool,
     last_active: Option<u64>,
-    /// Incarnations under which this run was removed. What they knew it
-    /// knows still.
+    /// Earlier incarnations of this run, which were removed from the map. This
+    /// run still has the claims that it made under them.
     former_ids: Vec<Instance>,
     received: BTreeMap<Instance, (Handoff, Time)>,
     claim_losses: Vec<ClaimLoss>,
@@ -84,7 +88,7 @@
 }
 
 impl State {
-    /// An instance that has read no map yet.
+    /// Creates the state of an instance that has not read a map yet.
     #[must_use]
     pub fn new(local: Instance, config: Config) -> State {
         State {
@@ -105,37 +109,39 @@
         }
     }
 
-    /// The newest map that was read.
+    /// Returns the newest map that was read.
     #[must_use]
     pub fn map(&self) -> &Map {
         &self.map
     }
 
-    /// This instance, with the incarnation under which it takes part.
+    /// Returns this instance's id with its current incarnation.
     #[must_use]
     pub fn local(&self) -> &Instance {
         &self.local
     }
 
-    /// True if this instance may make and copy claims in the map's epoch,
-    /// as far as hand-over goes. Making one also takes the lease.
+    /// Returns true if the hand-over is complete, so that this instance may
+    /// make and copy claims in the map's epoch. To make a claim it must also
+    /// hold the lease.
     #[must_use]
     pub fn is_active(&self) -> bool {
         self.active
     }
 
-    /// True if this instance has a place in the newest map.
+    /// Returns true if this instance is a member of the newest map.
     #[must_use]
     pub fn is_member(&self) -> bool {
         self.map.members.contains(&self.local)
     }
 
-    /// Takes a newer map: the instance stops acting until it is active again.
+    /// Installs a newer map and returns true if it was newer. The instance
+    /// stops acting until it is activated again.
     ///
-    /// Returns true if the map was newer. An instance that was removed takes
-    /// a higher incarnation, under which it may be proposed again: a removed
-    /// incarnation must never return, or a hand-over could miss what it did
-    /// in between.
+    /// An instance that was removed gets a higher incarnation
+    /// ([`State::rejoin`]), under which it may be proposed again. A removed
+    /// incarnation must never return: a hand-over could miss the claims that
+    /// it made in between.
     pub fn install(&mut self, map: &Map, now: Time) -> bool {
         let first = self.map.members.is_empty();
         if !first && map.epoch <= self.map.epoch {
@@ -158,7 +164,8 @@
         true
     }
 
-    /// Moves to a higher incarnation after a removal. Returns true if it did.
+    /// Takes a higher incarnation if this one was removed from the map.
+    /// Returns true if it did.
     pub fn rejoin(&mut self) -> bool {
         let removed = !self.is_member()
             && self.history.iter().any(|old| old.map.members.contains(&self.local));
@@ -169,11 +176,13 @@
         removed
     }
 
-    /// What this instance hands over to the map's members.
+    /// Returns the message with which this instance hands over to the map's
+    /// members.
     ///
-    /// It is made once an epoch, from what was known before activation, and
-    /// repeated until every member has it: claims made in the new epoch are
-    /// no member's to inherit, and the last active epoch must not move.
+    /// It is created once an epoch, from the state before activation, and sent
+    /// again until every member has it. It must not be created again after
+    /// activation: claims of the new epoch are not to be inherited, and the
+    /// last active epoch must stay the same.
     pub fn handoff(&mut self, copies: impl FnOnce() -> Vec<Copy>, now: Time) -> &Handoff {
         let losses = &self.claim_losses;
         let epoch = self.map.epoch;
@@ -190,7 +199,7 @@
         })
     }
 
-    /// Notes a hand-over heard from `from`, for this epoch or a later one.
+    /// Records a hand-over from `from`, for the current epoch or a later one.
     pub fn receive(&mut self, from: &Instance, handoff: &Handoff, now: Time) {
         let known = self.received.get(from).map(|(known, _)| known.epoch);
         let wanted =
@@ -200,9 +209,9 @@
         }
     }
 
-    /// Becomes active if all that the module's text asks for has come about.
-    ///
-    /// Returns the copies of claims to keep, or `None` if it is not time.
+    /// Activates the instance if the conditions in the module's documentation
+    /// are met. Returns the copies of claims to keep, or `None` if it was not
+    /// activated.
     pub fn activate(&mut self, now: Time) -> Option<Vec<Copy>> {
         if self.active || !self.is_member() || now < self.ready_at() {
             return None;
@@ -211,12 +220,12 @@
         let sources = self.sources();
         let epoch = self.map.epoch;
         let of_epoch = |_: &Instance, (handoff, _): &mut (Handoff, Time)| handoff.epoch == epoch;
-        let heard: BTreeMap<_, _> = self.received.extract_if(.., of_epoch).collect();
+        let received: BTreeMap<_, _> = self.received.extract_if(.., of_epoch).collect();
         for (map, until) in unknown {
             self.claim_losses.push(ClaimLoss { map, sources: sources.clone(), until });
         }
         let mut copies = vec![];
-        for (handoff, _) in heard.into_values() {
+        for (handoff, _) in received.into_values() {
             copies.extend(handoff.copies);
             for loss in handoff.claim_losses {
                 let until = now.after(loss.left_ms);
@@ -229,45 +238,48 @@
         Some(copies)
     }
 
-    /// Members whose hand-over this instance has, itself included.
+    /// Members whose hand-over this instance has, including itself and the
+    /// earlier incarnations.
     fn sources(&self) -> BTreeSet<Instance> {
         let current = |(handoff, _): &(Handoff, Time)| handoff.epoch == self.map.epoch;
-        let heard = self.received.iter().filter(|(_, heard)| current(heard));
+        let received = self.received.iter().filter(|(_, received)| current(received));
         let mut sources: BTreeSet<Instance> = self.former_ids.iter().cloned().collect();
         sources.insert(self.local.clone());
-        for (from, (handoff, _)) in heard {
+        for (from, (handoff, _)) in received {
             sources.insert(from.clone());
             sources.extend(handoff.former_ids.iter().cloned());
         }
         sources
     }
 
-    /// Hand-overs for the current epoch. One for a later epoch may have come
-    /// already; nothing may be concluded from it before its map is read,
-    /// because its claims are taken only then.
+    /// Hand-overs for the current epoch. One for a later epoch may have
+    /// arrived already, but it must be ignored until its map is read, because
+    /// its claims are taken over only then.
     fn handoffs(&self) -> impl Iterator<Item = &(Handoff, Time)> {
         self.received.values().filter(|(handoff, _)| handoff.epoch == self.map.epoch)
     }
 
-    /// The last epoch known to have been acted in, by anyone heard.
+    /// The last epoch in which this instance or a member that handed over was
+    /// active.
     fn last_active_known(&self) -> Option<u64> {
-        let heard = self.handoffs().filter_map(|(handoff, _)| handoff.last_active);
-        heard.chain(self.last_active).max()
+        let reported = self.handoffs().filter_map(|(handoff, _)| handoff.last_active);
+        reported.chain(self.last_active).max()
     }
 
-    /// Replaced maps in which claims may have been made that were not
-    /// inherited yet: from the last one known to be active onwards. Of one
-    /// map the earliest reading of its replacement counts.
+    /// Replaced maps under which claims may have been made that were not
+    /// inherited yet: the last map known to have been active and all later
+    /// ones. For each map, the earliest time at which its replacement was read
+    /// counts.
     fn open_maps(&self) -> Vec<Replaced> {
         let last_active = self.last_active_known();
-        let told = self.handoffs().flat_map(|(handoff, heard_at)| {
+        let reported = self.handoffs().flat_map(|(handoff, received_at)| {
             handoff.history.iter().map(|old| Replaced {
                 map: old.map.clone(),
-                at: Time(heard_at.0.saturating_sub(old.ago_ms)),
+                at: Time(received_at.0.saturating_sub(old.ago_ms)),
             })
         });
         let mut maps: BTreeMap<u64, Replaced> = BTreeMap::new();
-        for old in self.history.iter().cloned().chain(told) {
+        for old in self.history.iter().cloned().chain(reported) {
             let epoch = old.map.epoch;
             let open = last_active.is_none_or(|active| epoch >= active);
             let earlier = maps.get(&epoch).is_none_or(|known| old.at < known.at);
@@ -278,14 +290,15 @@
         maps.into_values().collect()
     }
 
-    /// Maps in which claims may have been made that nobody handed over, with
-    /// the time until which callers may send their keys.
+    /// Maps under which claims may have been made that no member handed over,
+    /// with the time until which callers may retry their keys.
     fn lost_maps(&self, now: Time) -> Vec<(Map, Time)> {
         let sources = self.sources();
         let horizon_ms = self.config.horizon_ms;
         let until = |old: &Replaced| {
-            // Where no member has handed over, they may promise to each other
-            // and go on making claims for as long as the log may be away.
+            // If no member of a map has handed over, its members may renew
+            // their leases by promises to each other, and go on making claims
+            // for as long as the log may be unavailable.
             let is_fenced = !old.map.members.is_disjoint(&sources);
             let ends = if is_fenced { now } else { now.max(self.without_promises(old.at)) };
             ends.after(horizon_ms)
@@ -294,15 +307,15 @@
         let lost = open.filter(|old| !old.map.members.is_subset(&sources));
         let mut maps: Vec<(Map, Time)> = lost.map(|old| (old.map.clone(), until(&old))).collect();
         if !self.reaches_back() {
-            // Nothing is known of who acted before: a map without members
-            // covers no key, so every key is unknown.
+            // It is not known which members acted before. A map without
+            // members covers no key, so the claims on every key count as lost.
             maps.push((Map::default(), now.after(horizon_ms)));
         }
         maps
     }
 
-    /// True if the open maps leave no gap back to an epoch whose claims are
-    /// known: the last active one, or the first map ever.
+    /// Returns true if the open maps are contiguous back to an epoch whose
+    /// claims are known: the last active one, or that of the first map ever.
     fn reaches_back(&self) -> bool {
         let maps = self.open_maps();
         let Some(oldest) = maps.first() else {
@@ -315,63 +328,65 @@
         unbroken && rooted
     }
 
-    /// When this instance may become active, if no other hand-over comes.
+    /// Returns when this instance may become active if no other hand-over
+    /// arrives.
     #[must_use]
     pub fn ready_at(&self) -> Time {
         let sources = self.sources();
-        let last_heard = self.handoffs().map(|(_, at)| *at).max().unwrap_or(self.read_at);
-        let heard = last_heard.max(self.read_at);
-        let mut ready_at = heard;
+        let last_handoff = self.handoffs().map(|(_, at)| *at).max().unwrap_or(self.read_at);
+        let last_handoff = last_handoff.max(self.read_at);
+        let mut ready_at = last_handoff;
         for old in self.open_maps() {
-            // Every map's wait starts at the same time: they do not add up.
-            ready_at = ready_at.max(self.fenced_at(&old, &sources, heard));
+            // The waits for all maps start at the same time and do not add up.
+            ready_at = ready_at.max(self.fenced_at(&old, &sources, last_handoff));
         }
         if !self.reaches_back() {
-            // Maps that nobody told of were replaced before the first map
-            // that was read here.
+            // Maps that no member reported were replaced before this instance
+            // read its first map.
             ready_at = ready_at.max(self.without_promises(self.first_read_at));
         }
         ready_at
     }
 
-    /// When no member of a replaced map acts any longer, given that the last
-    /// hand-over came at `heard`.
-    fn fenced_at(&self, old: &Replaced, sources: &BTreeSet<Instance>, heard: Time) -> Time {
+    /// When no member of a replaced map can act any longer, given that the
+    /// last hand-over arrived at `last_handoff`.
+    fn fenced_at(&self, old: &Replaced, sources: &BTreeSet<Instance>, last_handoff: Time) -> Time {
         let members = &old.map.members;
         let fence_ms = self.config.lease_ms + self.config.guard_ms;
         let mut staying = members.intersection(&self.map.members);
         if !staying.all(|member| sources.contains(member)) {
-            // It may be cut off from here alone, and then no newer map will
-            // come that leaves it out. Keys that only it knows are lost.
-            return heard.after(fence_ms + self.config.lease_ms);
+            // That member may be cut off only from this instance, in which
+            // case no newer map will exclude it. Claims that only it knows
+            // count as lost.
+            return last_handoff.after(fence_ms + self.config.lease_ms);
         }
         if members.is_subset(sources) {
-            return heard;
+            return last_handoff;
         }
         match members.is_disjoint(sources) {
-            // A member that has handed over had stopped promising by then.
-            false => heard.after(fence_ms),
+            // A member that has handed over makes no more promises.
+            false => last_handoff.after(fence_ms),
             true => self.without_promises(old.at),
         }
     }
 
-    /// When members that may all still promise to each other have been
-    /// without the log for too long, if a newer map was there at `read_at`.
+    /// When members that may renew their leases by promises to each other can
+    /// no longer do so, given that a newer map was on the log at `read_at`.
     fn without_promises(&self, read_at: Time) -> Time {
         read_at.after(self.config.log_away_ms + self.config.guard_ms)
     }
 
-    /// Notes that a read of the log, sent at `sent`, reached its end and
-    /// that every map it showed is installed.
+    /// Records that a read of the log that was sent at `sent` reached the end
+    /// and that all maps it showed are installed.
     ///
     /// A newer map can only have been appended after `sent`, so a lease that
-    /// is counted from `sent` runs out before whoever reads that map may act.
+    /// counts from `sent` expires before a reader of that map may act.
     pub fn confirm_by_log(&mut self, sent: Time) {
         self.log_confirmed = self.log_confirmed.max(Some(sent));
     }
 
-    /// Notes a peer's promise: in answer to a message sent at `sent` it said
-    /// that it knows no newer map than that of `epoch`.
+    /// Records a peer's promise: in reply to a message sent at `sent`, it
+    /// reported that it knows no newer map than that of `epoch`.
     pub fn confirm_by_peer(&mut self, from: &Instance, epoch: u64, sent: Time) {
         if epoch == self.map.epoch && sent >= self.read_at {
             let promise = self.promises.entry(from.clone()).or_insert(sent);
@@ -379,7 +394,8 @@
         }
     }
 
-    /// Until when this instance may act as an owner; the past if it may not.
+    /// Returns until when this instance may act as an owner; a time in the
+    /// past if it may not.
     #[must_use]
     pub fn lease_until(&self) -> Time {
         let Some(log_confirmed) = self.log_confirmed else {
@@ -401,7 +417,7 @@
         by_log.max(by_promise)
     }
 
-    /// True if claims on `key` may have been lost.
+    /// Returns true if claims on `key` may have been lost.
     #[must_use]
     pub fn may_have_lost_claims(&self, key: &str, now: Time) -> bool {
         self.claim_losses
@@ -409,7 +425,7 @@
             .any(|loss| loss.until > now && !loss.map.covers(key, &loss.sources))
     }
 
-    /// Drops what no caller can ask for any longer.
+    /// Forgets lost claims whose keys callers no longer retry.
     pub fn expire(&mut self, now: Time) {
         self.claim_losses.retain(|loss| loss.until > now);
     }
--- a/crates/hollywell/src/core/reducer/agreed.rs
+++ b/crates/hollywell/src/core/reducer/agreed.rs
@@ -1,5 +1,5 @@
-//! The agreed state: reading the log, taking a peer's state when the log is
-//! away, snapshots, and operators' edits.
+//! The agreed state: reading the log, adopting a peer's state while the log is
+//! unavailable, snapshots, and operators' edits.
 
 use super::{PendingEdit, State};
 use crate::{
@@ -16,14 +16,15 @@
     error::Kind,
 };
 
-/// How long a peer may be ahead before its state is asked for, in
-/// milliseconds. Shorter, and every instance that polls the log a little
-/// later than another would ask.
+/// How long a peer may be ahead before its state is requested, in
+/// milliseconds. With a shorter time, every instance that polls the log
+/// slightly later than another would request it.
 const PULL_AFTER_MS: u64 = 1_000;
-/// Time between tries to append a snapshot, in milliseconds. An instance
-/// that is cut off from the log must not fill it when it comes back.
+/// Interval of attempts to append a snapshot, in milliseconds. An instance
+/// that was cut off from the log must not flood it with snapshots after it
+/// reconnects.
 const SNAPSHOT_RETRY_MS: u64 = 1_000;
-/// Time between appends of the same edit, in milliseconds.
+/// Interval of appends of the same edit, in milliseconds.
 const EDIT_RETRY_MS: u64 = 1_000;
 
 impl State {
@@ -86,8 +87,8 @@
         self.on_changes(changes);
     }
 
-    /// Asks a peer that is ahead for its state, and writes a snapshot when
-    /// one is due.
+    /// Requests the state of a peer that is ahead, appends a snapshot when one
+    /// is due, and retries or times out edits.
     pub(super) fn tick_agreed(&mut self) {
         self.catch_up();
         self.write_snapshot();
@@ -109,19 +110,19 @@
         }
     }
 
-    /// Appends a snapshot when one is due. The live instance with the
-    /// smallest name is the first to; if none was read by then, because it
-    /// cannot reach the log, the others follow one by one.
+    /// Appends a snapshot when one is due. It is due first at the live
+    /// instance with the smallest name. If that one cannot reach the log, so
+    /// that no snapshot is read, it becomes due at the others one by one.
     fn write_snapshot(&mut self) {
         let factor = 2 + self.rank();
         let records = self.config.snapshot_records * factor / 2;
         let ms = self.config.snapshot_ms * factor / 2;
-        let many = self.fold.since_snapshot() >= records;
-        let late = self.now.since(self.snapshot_at) >= ms;
-        let empty = self.fold.state().next == 0;
-        let known = self.log_read && !self.fold.has_gap();
+        let due_by_records = self.fold.since_snapshot() >= records;
+        let due_by_time = self.now.since(self.snapshot_at) >= ms;
+        let is_empty = self.fold.state().next == 0;
+        let is_current = self.log_read && !self.fold.has_gap();
         let tried = self.now.since(self.snapshot_tried_at) < SNAPSHOT_RETRY_MS;
-        if empty || !known || tried || !(many || late) {
+        if is_empty || !is_current || tried || !(due_by_records || due_by_time) {
             return;
         }
         self.snapshot_tried_at = self.now;
@@ -129,7 +130,7 @@
         self.append(Record::Snapshot(snapshot));
     }
 
-    /// How many live instances have a smaller name.
+    /// Number of live instances with a smaller name.
     fn rank(&self) -> u64 {
         let smaller = |peer: &&Peer| peer.listed.name < self.config.me.name && self.is_live(peer);
         self.members.peers.values().filter(smaller).count() as u64
@@ -170,25 +171,25 @@
         }
     }
 
-    /// Appends edits again whose record was not read back, and gives up on
-    /// them as unknown when their time is up: the record may still come, and
-    /// the operator can ask by the edit's id.
+    /// Appends edits again whose record was not read back. At their time limit
+    /// they are answered as "unknown": the record may still appear on the log,
+    /// and the operator can query the outcome by the edit's id.
     fn tick_edits(&mut self) {
         let now = self.now;
         let edit_ms = self.config.edit_ms;
-        let late = |pending: &mut PendingEdit| now.since(pending.since) >= edit_ms;
-        let given_up: Vec<PendingEdit> = self.edits.extract_if(.., late).collect();
-        for pending in given_up {
+        let has_expired = |pending: &mut PendingEdit| now.since(pending.since) >= edit_ms;
+        let expired: Vec<PendingEdit> = self.edits.extract_if(.., has_expired).collect();
+        for pending in expired {
             self.refuse(pending.request, Kind::LogUnavailable);
         }
-        let mut again = vec![];
+        let mut retries = vec![];
         for pending in &mut self.edits {
             if now.since(pending.appended_at) >= EDIT_RETRY_MS {
                 pending.appended_at = now;
-                again.push(pending.edit.clone());
+                retries.push(pending.edit.clone());
             }
         }
-        for edit in again {
+        for edit in retries {
             self.append(Record::Edit(edit));
         }
     }
--- a/crates/hollywell/src/core/reducer/calls.rs
+++ b/crates/hollywell/src/core/reducer/calls.rs
@@ -1,8 +1,8 @@
-//! Calls to plain services: entry, dispatch without a key, and retries.
+//! Calls to plain services: admission, dispatch without a key, and retries.
 //!
-//! Without a key every request is its own: the instance that it reached
-//! knows all there is to know, and may say "not run". Keyed calls go to
-//! [`super::keyed`].
+//! Requests without a key are independent of each other: the instance that
+//! received one knows whether it ran, and may report "not run". Keyed calls
+//! are handled in [`super::keyed`].
 
 use super::{Flight, Path, Pending, Purpose, State};
 use crate::{
@@ -24,8 +24,9 @@
             self.refuse(request, known);
             return;
         }
-        // Not from `arrived`, which is earlier after a pause: a caller that
-        // has just come must not be turned away for it.
+        // The deadline does not count from `arrived`: after a pause of the
+        // process that is the start of the pause, and a caller that has just
+        // connected must not be refused because of it.
         let deadline = self.now.after(call.timeout_ms);
         let path = Path::Plain { tried: vec![] };
         self.pending.insert(request, Pending { call: call.clone(), deadline, path });
@@ -46,8 +47,8 @@
         (!known).then_some(Kind::UnknownPool)
     }
 
-    /// Sends an unkeyed call to a target that it was not sent to yet, or
-    /// refuses it as `otherwise`.
+    /// Dispatches a call without a key to a target that it was not sent to
+    /// yet, or refuses it as `otherwise` if there is none.
     fn dispatch_plain(&mut self, request: Request, otherwise: Kind) {
         let Some(pending) = self.pending.get(&request) else {
             return;
@@ -73,7 +74,7 @@
         self.dispatch(&target, request, Purpose::Call(request), deadline, deadline);
     }
 
-    /// Sends a request's bytes to a target.
+    /// Dispatches a request to a target.
     pub(super) fn dispatch(
         &mut self,
         target: &str,
@@ -116,7 +117,8 @@
         chosen.map(str::to_owned)
     }
 
-    /// Notes the end of an attempt and hands it to whoever it was for.
+    /// Records the end of an attempt and passes it to the code that started
+    /// the attempt.
     pub(super) fn on_target_ended(&mut self, dispatch: Dispatch, end: End, leaving: bool) {
         let Some(flight) = self.flights.remove(&dispatch) else {
             self.emit(Effect::Forget { dispatch });
@@ -162,28 +164,28 @@
             self.emit(Effect::Forget { dispatch });
             return;
         }
-        let given_up = match certainly_not_run {
+        let refusal = match certainly_not_run {
             true => Kind::TargetRefused,
             false => Kind::OutcomeUnknown,
         };
         let may_retry = certainly_not_run || idempotent;
         if may_retry && self.budget.spend() {
             self.count(Counted::Retry);
-            self.dispatch_plain(request, given_up);
+            self.dispatch_plain(request, refusal);
         } else {
-            self.refuse(request, given_up);
+            self.refuse(request, refusal);
         }
     }
 
-    /// Notes that a caller has gone. A call goes on to its end, which drops
-    /// its bytes; a step is of no use to anyone else.
+    /// Handles a caller's disconnect. A call runs to its end, when its bytes
+    /// are dropped; a step is abandoned, since it serves only its caller.
     pub(super) fn on_caller_disconnected(&mut self, request: Request) {
         self.abandon_step(request);
     }
 }
 
-/// A target's load relative to its slots, with this instance's requests in
-/// flight on top of the lagging report.
+/// A target's load relative to its slots. This instance's requests in flight
+/// are added to the reported load, because the report lags.
 pub(super) fn relative_load(target: &Target) -> f64 {
     let own = f64::from(target.in_flight + target.samples);
     match &target.load {
--- a/crates/hollywell/src/core/reducer/keyed.rs
+++ b/crates/hollywell/src/core/reducer/keyed.rs
@@ -1,11 +1,11 @@
-//! Keyed calls: at most one run for a key, whichever instances its sends
-//! reach.
+//! Keyed calls: a key runs at most once, whichever instances its sends reach.
 //!
-//! The entry sends the call to the key's owner. The owner claims the key,
-//! has its replica keep a copy, and only then dispatches. Only the owner may
-//! say "not run", and a key refused so is numbered, so that a send that
-//! reached its entry before the refusal never runs after it. Everyone else
-//! says "unknown", after which sending the same key again is safe.
+//! The instance that receives a call, its entry, forwards it to the key's
+//! owner. The owner claims the key, has a replica store a copy of the claim,
+//! and only then dispatches. Only the owner may report "not run". It numbers
+//! each such refusal, so that a send that reached its entry before the refusal
+//! never runs after it. All other instances report "unknown", after which it
+//! is safe to send the same key again.
 
 use super::{Path, PendingCopy, Purpose, State};
 use crate::{
@@ -23,14 +23,14 @@
 use super::Pending;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// How often a forwarded call is sent to its owner.
+/// Maximum number of attempts to forward a call to its owner.
 const MAX_FORWARDS: u32 = 3;
-/// Refusals whose times are remembered, to tell which a local caller's send
-/// came after.
+/// Number of refusals whose times are remembered, to determine which of them
+/// precede a local caller's send.
 const MAX_REFUSED_AT: usize = 256;
 
 impl State {
-    /// Takes a keyed call at its entry.
+    /// Accepts a keyed call at its entry.
     pub(super) fn accept_keyed(&mut self, request: Request, arrived: Time, key: &str) {
         let Some(pending) = self.pending.get(&request) else {
             return;
@@ -49,8 +49,8 @@
         }
     }
 
-    /// The failure domain that a key belongs to: the one that the caller
-    /// names, else one by hash of the key.
+    /// Returns the failure domain that a key belongs to: the one named by the
+    /// caller, or else one selected by a hash of the key.
     fn home_of(&self, call: &Call, key: &str) -> String {
         let domains = &self.config.domains;
         let named = call.home.as_ref().filter(|home| domains.contains(home));
@@ -69,9 +69,9 @@
         };
         let peer = self.members.peers.get(&owner.name);
         let current = |reading: &Reading| reading.from == *owner && reading.epoch == epoch;
-        let told = peer.filter(|peer| peer.reading().is_some_and(current));
-        let clock = told.and_then(|peer| peer.clock_at(self.now));
-        let (Some(peer), Some(clock)) = (told, clock) else {
+        let active = peer.filter(|peer| peer.reading().is_some_and(current));
+        let clock = active.and_then(|peer| peer.clock_at(self.now));
+        let (Some(peer), Some(clock)) = (active, clock) else {
             self.refuse(request, Kind::Unverified);
             return;
         };
@@ -101,9 +101,10 @@
         }
     }
 
-    /// Sends a call to the same owner again after a broken exchange. That is
-    /// safe: the owner tells by the key whether it ran. An owner that has
-    /// changed meanwhile cannot be told what was heard before the call came.
+    /// Forwards a call to the same owner again after a broken exchange. That
+    /// is safe, because the owner knows by the key whether it ran. The call
+    /// must not go to a new owner instead: this instance cannot know which of
+    /// the new owner's refusals preceded the call.
     fn forward_again(&mut self, request: Request) {
         let now = self.now;
         let Some(Pending { path, deadline, .. }) = self.pending.get_mut(&request) else {
@@ -121,7 +122,7 @@
         self.emit(Effect::Forward { request, address, forward });
     }
 
-    /// Takes a call that a peer forwarded.
+    /// Handles a call that a peer forwarded.
     pub(super) fn on_forwarded(&mut self, request: Request, forward: &Forward) {
         let call = forward.call.clone();
         let pending = Pending { call, deadline: forward.until, path: Path::Owned };
@@ -134,12 +135,12 @@
         }
     }
 
-    /// True if this instance may act as an owner in `epoch`.
+    /// Returns true if this instance may act as an owner in `epoch`.
     fn may_act(&self, epoch: u64) -> bool {
         epoch == self.owner.map().epoch && self.now < self.owner.lease_until()
     }
 
-    /// Decides about a call whose key this instance is asked to own.
+    /// Judges a call as the owner of its key.
     fn own(&mut self, request: Request, epoch: u64, seen: u64) {
         let Some(pending) = self.pending.get_mut(&request) else {
             return;
@@ -198,7 +199,7 @@
         (!known).then_some(Kind::UnknownPool)
     }
 
-    /// Refuses a claimed key as not run, and numbers the refusal.
+    /// Refuses a claimed key as "not run" and numbers the refusal.
     fn refuse_key(&mut self, key: &str, kind: Kind) {
         self.refusals += 1;
         self.refused_at.push_back((self.now, self.refusals));
@@ -210,20 +211,20 @@
         }
     }
 
-    /// How many refusals were numbered before a local caller's send came.
+    /// Number of refusals that were made before a local caller's send arrived.
     fn refusals_before(&self, arrived: Time) -> u64 {
         let later = self.refused_at.iter().find(|(at, _)| *at >= arrived);
         later.map_or(self.refusals, |(_, order)| order - 1)
     }
 
-    /// A peer asks this instance to keep a copy of its claim.
+    /// Handles a peer's request to store a copy of its claim.
     pub(super) fn on_claim(&mut self, from: &Instance, epoch: u64, key: &str, digest: u64) {
         let map = self.owner.map();
-        let in_place = self.owner.is_active()
+        let is_replica = self.owner.is_active()
             && map.epoch == epoch
             && map.owner(key) == Some(from)
             && map.replica(key) == Some(self.owner.local());
-        if !in_place {
+        if !is_replica {
             return;
         }
         let copy = crate::core::claim::Copy { key: key.to_owned(), digest, age_ms: 0 };
@@ -231,7 +232,7 @@
         self.send_to(from, Message::Claimed { epoch, key: key.to_owned() });
     }
 
-    /// The replica has the copy: dispatch.
+    /// Dispatches a claimed key once the replica has confirmed its copy.
     pub(super) fn on_claimed(&mut self, from: &Instance, epoch: u64, key: &str) {
         let expected = |pending: &&PendingCopy| pending.replica == *from && pending.epoch == epoch;
         let Some(pending) = self.pending_copies.get(key).filter(expected).cloned() else {
@@ -247,7 +248,7 @@
         }
     }
 
-    /// Drops a claim that was not dispatched and that this instance may no
+    /// Gives up a claim that was not dispatched and that this instance may no
     /// longer decide about.
     fn abandon_key(&mut self, key: &str, kind: Kind) {
         for request in self.claims.advance(key, Phase::Uncertain, self.now) {
@@ -273,7 +274,7 @@
         self.claims.advance(key, Phase::Running(dispatch), self.now);
     }
 
-    /// An attempt for a key ended.
+    /// Handles the end of an attempt for a key.
     pub(super) fn end_keyed(
         &mut self,
         key: &str,
@@ -298,8 +299,8 @@
         }
     }
 
-    /// The target certainly did not run it: try another one, if this
-    /// instance still may.
+    /// Tries another target after one that certainly did not run the request,
+    /// if this instance may still act as the owner.
     fn retry_key(&mut self, key: &str, request: Request, tried: Vec<String>) {
         if !self.may_act(self.owner.map().epoch)
             || self.owner.map().owner(key) != Some(self.owner.local())
@@ -316,8 +317,9 @@
         self.dispatch_key(key, request, tried, Kind::TargetRefused);
     }
 
-    /// Refuses claims whose replica did not answer in time, asks it again
-    /// meanwhile, and forgets claims past the callers' retry horizon.
+    /// Refuses claims whose replica did not answer in time, repeats the request
+    /// to the replica until then, and forgets claims that are older than the
+    /// callers' retry horizon.
     pub(super) fn tick_claims(&mut self) {
         let pending_copies: Vec<(String, PendingCopy)> = self
             .pending_copies
@@ -329,8 +331,8 @@
                 || self.now >= pending.until
             {
                 self.pending_copies.remove(&key);
-                let may_say = self.may_act(pending.epoch);
-                match may_say {
+                let may_refuse = self.may_act(pending.epoch);
+                match may_refuse {
                     true => self.refuse_key(&key, Kind::NoReplica),
                     false => self.abandon_key(&key, Kind::Unverified),
                 }
@@ -346,7 +348,7 @@
         self.owner.expire(self.now);
     }
 
-    /// Gives up what was claimed and not dispatched, at a change of the map.
+    /// Gives up all claims that were not dispatched, when the map changes.
     pub(super) fn abandon_claims(&mut self) {
         self.pending_copies.clear();
         for (_, waiters) in self.claims.abandon() {
--- a/crates/hollywell/src/core/reducer/mod.rs
+++ b/crates/hollywell/src/core/reducer/mod.rs
@@ -1,9 +1,9 @@
-//! One reducer over all events, with effects as data.
+//! The reducer: a state machine that takes events and returns effects as data.
 //!
-//! [`State::step`] is the single entry: it takes a time and an [`Event`] and
-//! returns [`Effect`]s. It has no hidden input: the same configuration and
-//! the same events give the same effects, which is what recorded traces and
-//! generated schedules rely on. The submodules hold the steps by subject.
+//! [`State::step`] is the only entry point. It takes a time and an [`Event`]
+//! and returns [`Effect`]s. It has no hidden inputs: the same configuration
+//! and events always give the same effects, on which recorded traces and
+//! generated schedules rely. The submodules handle the events by subject.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -38,63 +38,69 @@
 mod samples;
 mod stop;
 
-/// What an instance is told once, at its start.
+/// Configuration of an instance, fixed at its start.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Config {
-    /// This run of this instance.
+    /// Id of this instance and of its current run.
     pub me: Instance,
-    /// Its failure domain.
+    /// Failure domain of this instance.
     pub domain: String,
-    /// All failure domains, the same list at every instance: keys whose home
-    /// the caller does not name are spread over them.
+    /// All failure domains; the list must be the same at every instance. Keys
+    /// without a home domain named by the caller are distributed over them.
     pub domains: Vec<String>,
-    /// Seed of the draws among targets.
+    /// Seed of the random choice among targets.
     pub seed: u64,
-    /// Times of ownership and of the lease on orders.
+    /// Durations for ownership and for the lease on orders.
     pub ownership: owner::Config,
-    /// Time between heartbeats within the failure domain, in milliseconds.
+    /// Interval of heartbeats within the failure domain, in milliseconds.
     #[serde(rename = "beat_ms")]
     pub heartbeat_ms: u64,
-    /// Time between heartbeats to other failure domains, in milliseconds.
+    /// Interval of heartbeats to other failure domains, in milliseconds.
     #[serde(rename = "remote_beat_ms")]
     pub remote_heartbeat_ms: u64,
-    /// Silence after which a peer is taken for dead, in milliseconds.
+    /// Time without an answer after which a peer counts as failed, in
+    /// milliseconds.
     pub suspect_ms: u64,
-    /// How long a change of membership must last before a new map is
+    /// How long a change of membership must persist before a new map is
     /// proposed, in milliseconds.
     pub settle_ms: u64,
-    /// Records between snapshots.
+    /// Number of records between snapshots.
     pub snapshot_records: u64,
     /// Longest time between snapshots, in milliseconds.
     pub snapshot_ms: u64,
-    /// Calls in flight at once.
+    /// Maximum number of calls in flight.
     pub calls: usize,
-    /// Steps open at once.
+    /// Maximum number of open steps.
     pub steps: usize,
-    /// Percentage of an engine's slots that rollouts leave to live traffic.
+    /// Percentage of an engine's slots that is reserved for live traffic and
+    /// not used by rollouts.
     pub reserve_percent: u32,
-    /// How long a replica may take to copy a claim, in milliseconds.
+    /// How long a replica may take to confirm its copy of a claim, in
+    /// milliseconds.
     #[serde(rename = "deputy_ms")]
     pub replica_timeout_ms: u64,
-    /// How long an order to an engine may take, in milliseconds.
+    /// Time limit of an order to an engine, in milliseconds.
     pub order_ms: u64,
-    /// Engines of the failure domain that may change weights at once.
+    /// Maximum number of engines of the failure domain that change weights at
+    /// the same time.
     pub orders: usize,
-    /// How long an operator's edit may take, in milliseconds.
+    /// Time limit of an operator's edit, in milliseconds.
     pub edit_ms: u64,
-    /// Weight fetches that the store allows in a second, from everyone.
-    #[serde(default = "usual_fetches")]
+    /// Weight fetches per second that the store allows to all instances
+    /// together.
+    #[serde(default = "default_fetches")]
     pub fetches_a_s: u64,
-    /// How samples are placed; the usual way in traces from before it.
+    /// How samples are placed. Traces recorded before this field existed get
+    /// the default.
     #[serde(default)]
     pub policy: Policy,
-    /// How long a stopping instance waits for its successors, in
-    /// milliseconds.
+    /// How long a stopping instance waits for other members to take over its
+    /// keys, in milliseconds.
     pub resign_ms: u64,
 }
 
 impl Config {
-    /// A configuration with the usual times.
+    /// Creates a configuration with the default durations and limits.
     #[must_use]
     pub fn new(me: Instance, domain: &str, domains: &[&str]) -> Config {
         Config {
@@ -116,19 +122,19 @@
             order_ms: 5_000,
             orders: 2,
             edit_ms: 5_000,
-            fetches_a_s: usual_fetches(),
+            fetches_a_s: default_fetches(),
             policy: Policy::default(),
             resign_ms: 4_000,
         }
     }
 }
 
-/// Weight fetches a second where the settings do not say.
-const fn usual_fetches() -> u64 {
+/// Default number of weight fetches per second.
+const fn default_fetches() -> u64 {
     20
 }
 
-/// A caller's request and how far it has come.
+/// A caller's request in progress.
 #[derive(Clone, Debug)]
 struct Pending {
     call: Call,
@@ -138,11 +144,11 @@
 
 #[derive(Clone, Debug)]
 enum Path {
-    /// Sent to a target from here, without a key.
+    /// A call without a key, dispatched by this instance.
     Plain { tried: Vec<String> },
-    /// Owned here.
+    /// A keyed call whose key this instance owns.
     Owned,
-    /// Sent to the key's owner.
+    /// A keyed call that was forwarded to the key's owner.
     Forwarded { forward: Forward, address: String, tries: u32 },
 }
 
@@ -160,7 +166,7 @@
     Sample { request: Request, slot: Slot },
 }
 
-/// A claim that waits for its replica.
+/// A claim whose copy the replica has not confirmed yet.
 #[derive(Clone, Debug)]
 struct PendingCopy {
     request: Request,
@@ -170,7 +176,7 @@
     until: Time,
 }
 
-/// An operator's edit that was not read back yet.
+/// An operator's edit that was not read back from the log yet.
 #[derive(Clone, Debug)]
 struct PendingEdit {
     request: Request,
@@ -179,7 +185,7 @@
     appended_at: Time,
 }
 
-/// The whole state of one instance.
+/// The complete state of one instance.
 ///
 /// # Example
 ///
@@ -197,7 +203,7 @@
 ///     home: None, digest: 7, timeout_ms: 1_000,
 /// };
 /// let event = Event::Call { request: Request(1), arrived: Time(4), call };
-/// // Nobody owns the key yet, so nobody can say that it did not run.
+/// // The key has no owner yet, so no instance knows whether it ran.
 /// let refused = Reply::Refused(Kind::Unverified);
 /// assert_eq!(
 ///     state.step(Time(5), &event),
@@ -241,7 +247,7 @@
 }
 
 impl State {
-    /// An instance that knows nothing but its configuration.
+    /// Creates the state of an instance that has not read anything yet.
     #[must_use]
     pub fn new(config: Config) -> State {
         State {
@@ -280,10 +286,11 @@
         }
     }
 
-    /// Takes one event at `now` and returns what is to be done about it.
+    /// Handles an event at `now` and returns the effects to carry out, in
+    /// order.
     ///
-    /// A `now` earlier than that of the event before counts as the same
-    /// instant. Effects are to be carried out in order.
+    /// If `now` is earlier than that of the previous event, the time of the
+    /// previous event is used.
     pub fn step(&mut self, now: Time, event: &Event) -> Vec<Effect> {
         self.now = now.max(self.now);
         if is_request(event) {
@@ -368,78 +375,78 @@
         Dispatch(self.last_dispatch)
     }
 
-    /// The offset before which everything is folded, and whether that state
-    /// is known to have no gap.
+    /// Returns the offset of the first record that is not folded yet, and
+    /// whether the folded state has no gap.
     #[must_use]
     pub fn folded(&self) -> (u64, bool) {
         (self.fold.state().next, !self.fold.has_gap())
     }
 
-    /// What this instance was told at its start.
+    /// Returns the configuration.
     #[must_use]
     pub fn config(&self) -> &Config {
         &self.config
     }
 
-    /// True if a peer answered lately.
+    /// Returns true if a peer answered recently.
     #[must_use]
     pub fn is_live(&self, peer: &Peer) -> bool {
-        let is_near = peer.listed.domain == self.config.domain;
-        let far_ms = self.config.suspect_ms.max(self.config.remote_heartbeat_ms * 2);
-        let window_ms = if is_near { self.config.suspect_ms } else { far_ms };
+        let is_local = peer.listed.domain == self.config.domain;
+        let remote_ms = self.config.suspect_ms.max(self.config.remote_heartbeat_ms * 2);
+        let window_ms = if is_local { self.config.suspect_ms } else { remote_ms };
         peer.is_live(self.now, window_ms)
     }
 
-    /// The agreed state as far as it is known here.
+    /// Returns the agreed state, as far as it was folded here.
     #[must_use]
     pub fn agreed(&self) -> &crate::core::stream::Snapshot {
         self.fold.state()
     }
 
-    /// The instances and targets known here.
+    /// Returns the instances and targets that are known here.
     #[must_use]
     pub fn members(&self) -> &Members {
         &self.members
     }
 
-    /// This instance's place in its failure domain's ownership.
+    /// Returns this instance's state in the ownership protocol.
     #[must_use]
     pub fn ownership(&self) -> &owner::State {
         &self.owner
     }
 
-    /// Number of keys whose claims are known here.
+    /// Returns the number of claims that are known here.
     #[must_use]
     pub fn claims(&self) -> usize {
         self.claims.len()
     }
 
-    /// The open steps.
+    /// Returns the open steps.
     #[must_use]
     pub fn steps(&self) -> &Steps {
         &self.steps
     }
 
-    /// Calls and steps that were not answered yet.
+    /// Returns the number of calls, steps and edits in progress.
     #[must_use]
     pub fn in_flight(&self) -> usize {
         self.pending.len() + self.steps.open.len() + self.edits.len()
     }
 
-    /// True once the instance was asked to stop.
+    /// Returns true once the instance was asked to stop.
     #[must_use]
     pub fn is_draining(&self) -> bool {
         self.draining.is_some()
     }
 
-    /// True if this instance can take calls and steps: it has a state
-    /// without gaps and is not stopping.
+    /// Returns true if this instance can accept calls and steps: it has read
+    /// the log to its end without gaps and is not stopping.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         self.log_read && !self.fold.has_gap() && self.draining.is_none()
     }
 
-    /// What this instance says of itself as an owner, if it is active.
+    /// What this instance reports about itself as an owner, if it is active.
     fn reading(&self) -> Option<Reading> {
         let reading = || Reading {
             from: self.owner.local().clone(),
@@ -451,7 +458,7 @@
     }
 }
 
-/// True for an event that somebody awaits an answer to.
+/// Returns true for an event that must be answered.
 const fn is_request(event: &Event) -> bool {
     matches!(
         event,
--- a/crates/hollywell/src/core/reducer/orders.rs
+++ b/crates/hollywell/src/core/reducer/orders.rs
@@ -1,9 +1,9 @@
-//! Orders to the failure domain's engines: which one loads which version.
+//! Orders to the failure domain's engines to load weight versions.
 //!
-//! Orders are level-triggered. The holder of the lease compares the version
-//! that an engine reports with the newest one and repeats the order until
-//! they agree, so a lost answer, a failed swap or a second holder is put
-//! right by the next report.
+//! Orders are level-triggered: the lease holder compares the version that an
+//! engine reports with the newest one and repeats the order until they match.
+//! A lost answer, a failed load or a second holder is therefore corrected
+//! after the next report.
 
 use super::{Config, State};
 use crate::core::{
@@ -14,23 +14,23 @@
     time::Time,
 };
 
-/// How far an engine's load report may lag behind an order that it took, in
-/// milliseconds.
+/// How far an engine's load report may lag behind an order that it accepted,
+/// in milliseconds.
 const REPORT_LAG_MS: u64 = 2_000;
 
-/// Time between weight fetches that a holder may cause: the store's rate is
-/// shared by the holders of all failure domains, in milliseconds.
+/// Returns the interval of the weight fetches that a lease holder may cause,
+/// in milliseconds. The holders of all failure domains share the store's rate.
 pub(super) fn interval_ms(config: &Config) -> u64 {
     let holders = config.domains.len().max(1) as u64;
     1_000 * holders / config.fetches_a_s.max(1)
 }
 
-/// An order that was given to an engine.
+/// An order that was sent to an engine.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct SentOrder {
-    /// Until when the engine gets no other one.
+    /// Until when the engine gets no other order.
     until: Time,
-    /// True until its end is known.
+    /// True until the order has ended.
     in_flight: bool,
 }
 
@@ -54,7 +54,7 @@
         }
     }
 
-    /// How much of the lease must be left when an order is sent, in
+    /// How much time of the lease must be left when an order is sent, in
     /// milliseconds.
     fn order_limit_ms(&self) -> u64 {
         self.config.ownership.lease_ms / 3
@@ -77,7 +77,7 @@
     }
 
     /// Orders for engines of this failure domain that report an old version,
-    /// as many as may change at once.
+    /// limited by how many may change weights at the same time.
     fn due_orders(&self) -> Vec<(String, String, Order)> {
         let in_flight = self.sent_orders.values().filter(|sent| sent.in_flight).count();
         let free = self.config.orders.saturating_sub(in_flight);
@@ -85,13 +85,13 @@
         let Some(fence) = grant.map(|grant| grant.fence) else {
             return vec![];
         };
-        let ours = |target: &&Target| {
+        let is_eligible = |target: &&Target| {
             target.listed.kind == Kind::Engine
                 && target.listed.domain == self.config.domain
                 && !target.leaving
                 && !self.sent_orders.contains_key(&target.listed.name)
         };
-        let engines = self.members.targets.values().filter(ours);
+        let engines = self.members.targets.values().filter(is_eligible);
         let due = engines.filter_map(|engine| {
             let (trainer, version) = self.next_version(engine)?;
             let holder = self.owner.local().clone();
@@ -101,8 +101,8 @@
         due.take(free).collect()
     }
 
-    /// The first trainer of which the engine serves an old version, with the
-    /// version that it should serve.
+    /// Returns the first trainer of which the engine serves an old version,
+    /// and the version that it should load.
     fn next_version(&self, engine: &Target) -> Option<(String, u64)> {
         let load = engine.load.as_ref()?;
         let old = |(trainer, served): (&String, &u64)| {
@@ -112,16 +112,16 @@
         load.versions.iter().find_map(old)
     }
 
-    /// Notes the end of an order. A taken one keeps its engine from getting
-    /// another until the lagging report shows it, but makes room for the
-    /// next engine; a failed one is repeated soon.
+    /// Handles the end of an order. After an accepted order, its engine gets no
+    /// other one until the lagging report can show the result, but the next
+    /// engine can get one. A failed order is repeated soon.
     pub(super) fn on_order_ended(&mut self, target: &str, taken: bool) {
-        let pause_ms = if taken { REPORT_LAG_MS } else { self.config.heartbeat_ms };
-        let until = self.now.after(pause_ms);
+        let delay_ms = if taken { REPORT_LAG_MS } else { self.config.heartbeat_ms };
+        let until = self.now.after(delay_ms);
         self.sent_orders.insert(target.to_owned(), SentOrder { until, in_flight: false });
     }
 
-    /// Forgets an order whose engine reports that it serves what it should.
+    /// Forgets the order to an engine that reports no old version any longer.
     pub(super) fn forget_order(&mut self, target: &str) {
         let engine = self.members.targets.get(target);
         if engine.is_some_and(|engine| self.next_version(engine).is_none()) {
--- a/crates/hollywell/src/core/reducer/peers.rs
+++ b/crates/hollywell/src/core/reducer/peers.rs
@@ -24,12 +24,12 @@
         };
         let mut due = vec![];
         for peer in self.members.peers.values_mut() {
-            let is_near = peer.listed.domain == self.config.domain;
-            let every_ms = match is_near {
+            let is_local = peer.listed.domain == self.config.domain;
+            let interval_ms = match is_local {
                 true => self.config.heartbeat_ms,
                 false => self.config.remote_heartbeat_ms,
             };
-            if peer.heartbeat_sent_at.is_none_or(|at| self.now.since(at) >= every_ms) {
+            if peer.heartbeat_sent_at.is_none_or(|at| self.now.since(at) >= interval_ms) {
                 peer.heartbeat_sent_at = Some(self.now);
                 due.push(peer.listed.address.clone());
             }
@@ -99,11 +99,11 @@
         peer.instance = Some(from.clone());
         peer.last_seen_at = Some(now);
         peer.draining = draining;
-        let is_near = peer.listed.domain == self.config.domain;
+        let is_local = peer.listed.domain == self.config.domain;
         if let Some(reading) = reading {
             peer.record_reading(reading, now);
         }
-        if is_near {
+        if is_local {
             self.owner.confirm_by_peer(from, epoch, sent);
             let active_epoch = reading.map(|reading| reading.epoch);
             if active_epoch != Some(self.owner.map().epoch) {
@@ -124,7 +124,7 @@
         }
     }
 
-    /// Takes the newest map of the failure domain into use.
+    /// Installs the newest map of the failure domain.
     pub(super) fn install_map(&mut self) {
         let maps = &self.fold.state().maps.0;
         let Some(map) = maps.get(&self.config.domain).cloned() else {
@@ -165,8 +165,8 @@
         self.count(Counted::Activation);
     }
 
-    /// Activates when it is time, and proposes a map that matches who is
-    /// live.
+    /// Activates this instance when it may be, and proposes a new map when the
+    /// live instances differ from the map's members.
     pub(super) fn tick_ownership(&mut self) {
         self.activate();
         let desired = self.desired_members();
@@ -174,10 +174,10 @@
             self.desired = (desired, self.now);
         }
         let settled = self.now.since(self.desired.1) >= self.config.settle_ms;
-        let retry = |at: Time| self.now.since(at) < self.config.heartbeat_ms * 2;
-        let waits = self.proposed_at.is_some_and(retry);
-        let same = self.desired.0 == self.owner.map().members;
-        if !settled || waits || same || !self.may_propose() {
+        let is_recent = |at: Time| self.now.since(at) < self.config.heartbeat_ms * 2;
+        let is_pending = self.proposed_at.is_some_and(is_recent);
+        let is_unchanged = self.desired.0 == self.owner.map().members;
+        if !settled || is_pending || is_unchanged || !self.may_propose() {
             return;
         }
         let members = self.desired.0.clone();
@@ -188,18 +188,20 @@
     }
 
     fn may_propose(&self) -> bool {
-        let known = self.log_read && !self.fold.has_gap();
+        let is_current = self.log_read && !self.fold.has_gap();
         let first = self.desired.0.first();
-        let leaves = self.draining.is_some() && self.owner.is_member();
-        known && (leaves || first == Some(self.owner.local())) && !self.desired.0.is_empty()
+        let is_leaving = self.draining.is_some() && self.owner.is_member();
+        is_current
+            && (is_leaving || first == Some(self.owner.local()))
+            && !self.desired.0.is_empty()
     }
 
     /// The instances of this failure domain that should share its keys.
     fn desired_members(&self) -> BTreeSet<Instance> {
-        let near = |peer: &&Peer| {
+        let is_candidate = |peer: &&Peer| {
             peer.listed.domain == self.config.domain && self.is_live(peer) && !peer.draining
         };
-        let peers = self.members.peers.values().filter(near);
+        let peers = self.members.peers.values().filter(is_candidate);
         let mut desired: BTreeSet<Instance> =
             peers.filter_map(|peer| peer.instance.clone()).collect();
         if self.draining.is_none() {
--- a/crates/hollywell/src/core/reducer/samples.rs
+++ b/crates/hollywell/src/core/reducer/samples.rs
@@ -1,4 +1,5 @@
-//! Steps and samples: starting them on engines, judging and delivering them.
+//! Steps and samples: starting samples on engines, judging the results and
+//! delivering them.
 
 use std::collections::BTreeSet;
 
@@ -54,8 +55,8 @@
         (self.steps.open.len() >= self.config.steps).then_some(Kind::Overloaded)
     }
 
-    /// Starts samples as long as there is a slot to run and an engine with
-    /// room for it.
+    /// Starts samples as long as one is waiting and an engine has capacity for
+    /// it.
     pub(super) fn start_samples(&mut self) {
         if self.draining.is_some() {
             return;
@@ -69,7 +70,7 @@
         }
     }
 
-    /// Runs stragglers of steps near their end a second time.
+    /// Starts hedged attempts for stragglers of steps that are near their end.
     pub(super) fn hedge_samples(&mut self) {
         let budget_percent = self.config.policy.hedge_percent;
         if self.draining.is_some() || budget_percent == 0 {
@@ -107,8 +108,8 @@
         if self.steps.running(&trainer) >= row.in_flight {
             return false;
         }
-        let near = step.engine_of(slot.group).map(str::to_owned);
-        let Some(target) = self.choose_engine(&row, &tried, near.as_deref()) else {
+        let cached = step.engine_of(slot.group).map(str::to_owned);
+        let Some(target) = self.choose_engine(&row, &tried, cached.as_deref()) else {
             return false;
         };
         let dispatch = self.new_dispatch();
@@ -128,7 +129,7 @@
         true
     }
 
-    /// Weights of the trainers that have a step open here.
+    /// Sum of the weights of the trainers that have a step open here.
     pub(super) fn demand(&self) -> u32 {
         let table = &self.fold.state().table;
         let open = self.steps.open.values().map(|step| step.opening().trainer.as_str());
@@ -136,9 +137,9 @@
         trainers.iter().filter_map(|trainer| table.row(trainer)).map(|row| row.weight).sum()
     }
 
-    /// This instance's share of the engines' slots: its trainers' weights
-    /// among those of all instances that have a step open. Instances without
-    /// one take no part, so that nothing is left idle for them.
+    /// This instance's share of the engines' slots: the weights of its
+    /// trainers relative to those at all instances. Instances without an open
+    /// step have no share, so that no slots are left idle for them.
     fn share(&self) -> f64 {
         let own = f64::from(self.demand().max(1));
         let live = self.members.peers.values().filter(|peer| self.is_live(peer));
@@ -151,14 +152,14 @@
         flights.map(|flight| flight.target.clone()).collect()
     }
 
-    /// An engine with room that serves an acceptable version, other than
-    /// those that were `tried`; `near` if it is hardly more loaded than the
-    /// others, because it has the prompt in its cache.
+    /// Chooses an engine with capacity that serves an acceptable version and
+    /// is not among those `tried`. It is the `cached` one, which has the prompt
+    /// in its cache, unless that is much more loaded than the others.
     fn choose_engine(
         &mut self,
         row: &table::Row,
         tried: &[String],
-        near: Option<&str>,
+        cached: Option<&str>,
     ) -> Option<String> {
         let policy = self.config.policy;
         let requirements = Requirements {
@@ -170,9 +171,9 @@
             fixed: policy.fixed_samples,
         };
         let candidates = requirements.engines(&self.members);
-        let near = near.filter(|_| policy.affinity);
-        if let Some(near) = near.and_then(|near| route::within_bound(&candidates, near)) {
-            return Some(near.to_owned());
+        let cached = cached.filter(|_| policy.affinity);
+        if let Some(name) = cached.and_then(|name| route::within_bound(&candidates, name)) {
+            return Some(name.to_owned());
         }
         self.choices += 1;
         policy.choose(&candidates, self.choices, &mut self.rng).map(str::to_owned)
@@ -202,7 +203,7 @@
         let table = &self.fold.state().table;
         let row = trainer.as_deref().and_then(|trainer| table.row(trainer));
         let Some(row) = row.cloned() else {
-            // The row was removed; the next tick ends the step.
+            // The row was removed from the table; the next tick ends the step.
             self.emit(Effect::Forget { dispatch });
             return;
         };
@@ -249,10 +250,10 @@
             return;
         };
         let missing = step.missing();
-        let moves = self.draining.is_some() && step.running() == 0;
+        let is_drained = self.draining.is_some() && step.running() == 0;
         if missing == 0 {
             self.end_step(request, None);
-        } else if moves {
+        } else if is_drained {
             self.end_step(request, Some(Kind::Draining));
         }
     }
@@ -266,7 +267,7 @@
         self.cancel_samples(request);
     }
 
-    /// Drops a step whose trainer has gone.
+    /// Drops a step whose trainer has disconnected.
     pub(super) fn abandon_step(&mut self, request: Request) {
         if self.steps.open.remove(&request).is_some() {
             self.cancel_samples(request);
@@ -286,8 +287,8 @@
         }
     }
 
-    /// Stops an attempt that nobody wants any longer. It is forgotten at
-    /// once: how it ends says nothing about its engine.
+    /// Cancels an attempt whose result is no longer needed. It is forgotten at
+    /// once, because its end says nothing about the health of its engine.
     fn cancel_sample(&mut self, dispatch: Dispatch) {
         let Some(flight) = self.flights.remove(&dispatch) else {
             return;
@@ -299,7 +300,8 @@
         self.emit(Effect::Forget { dispatch });
     }
 
-    /// Why a step ends now although samples are missing, if it does.
+    /// Returns why a step must end now although samples are missing, or `None`
+    /// if it goes on.
     fn end_of(&self, step: &Step) -> Option<Kind> {
         let row = self.fold.state().table.row(&step.opening().trainer);
         if self.now >= step.deadline() {
@@ -311,8 +313,8 @@
         }
     }
 
-    /// Ends steps whose trainer has stopped waiting or has no row any longer,
-    /// and those that a stopping instance hands over.
+    /// Ends steps whose deadline has passed or whose trainer's row was removed
+    /// and, if this instance is stopping, steps without running samples.
     pub(super) fn end_late_steps(&mut self) {
         let steps = self.steps.open.iter();
         let ended: Vec<(Request, Kind)> =
@@ -329,7 +331,7 @@
     }
 }
 
-/// What an engine must have to be given a sample.
+/// What an engine must satisfy to be given a sample.
 struct Requirements<'a> {
     trainer: &'a str,
     oldest: u64,
@@ -340,8 +342,8 @@
 }
 
 impl Requirements<'_> {
-    /// The engines that may be given the sample; none if this instance has
-    /// its share of all of them in flight.
+    /// Returns the engines that may be given the sample; none if this instance
+    /// has already used up its share of all slots.
     fn engines<'m>(&self, members: &'m Members) -> Vec<Candidate<'m>> {
         let targets = || members.targets.values();
         let slots: u32 = targets().filter_map(|target| Some(target.load.as_ref()?.slots)).sum();
@@ -352,8 +354,9 @@
         let candidate = |target: &'m Target| Candidate {
             name: &target.listed.name,
             load: relative_load(target),
-            // Every engine may serve rollouts of every domain: keeping to
-            // the nearest would leave the others' share idle.
+            // Any engine may serve rollouts of any failure domain: preferring
+            // local engines would leave this instance's share of the others
+            // idle.
             is_local: true,
         };
         targets().filter(|target| self.is_eligible(target)).map(candidate).collect()
@@ -380,7 +383,7 @@
     }
 }
 
-/// How much of the engines one instance may use for samples.
+/// The share of the engines' slots that one instance may use for samples.
 struct SlotQuota {
     reserve_percent: u32,
     share: f64,
@@ -391,14 +394,15 @@
         f64::from(slots * (100 - self.reserve_percent.min(100))) / 100.0
     }
 
-    /// Samples in flight at one engine of `slots` slots. Rounded up: what is
-    /// too much there is too little elsewhere, and the sum is bounded.
+    /// Maximum number of samples in flight at one engine with `slots` slots.
+    /// It is rounded up: an excess at one engine is compensated at others,
+    /// because the total is bounded.
     fn per_engine(&self, slots: u32) -> u32 {
         (self.usable(slots) * self.share).ceil() as u32
     }
 
-    /// Samples in flight at all engines of `slots` slots together; at least
-    /// one, so that every step goes on.
+    /// Maximum number of samples in flight at all engines, with `slots` slots
+    /// together. It is at least one, so that every step makes progress.
     fn total(&self, slots: u32) -> u32 {
         ((self.usable(slots) * self.share) as u32).max(1)
     }
--- a/crates/hollywell/src/core/reducer/stop.rs
+++ b/crates/hollywell/src/core/reducer/stop.rs
@@ -1,12 +1,12 @@
-//! Stopping: an instance that is asked to stop takes no new work, finishes
-//! what is in flight, hands its keys over, and then exits.
+//! Graceful shutdown: an instance that is asked to stop accepts no new work,
+//! finishes what is in flight, hands over its keys, and then exits.
 
 use super::State;
 use crate::core::{effect::Effect, member::Peer};
 
-/// Ticks without a request before the process may end. A process that was
-/// paused while it was stopping finds requests waiting in its sockets; they
-/// are answered before their connections are closed.
+/// Number of ticks without a request after which the process may exit. A
+/// process that was paused while stopping finds requests waiting in its
+/// sockets, which must be answered before their connections are closed.
 pub(super) const IDLE_TICKS: u32 = 2;
 
 impl State {
@@ -24,18 +24,20 @@
         }
     }
 
-    /// True if the keys are in others' hands: a map without this instance is
-    /// in force and every member that is live acts under it. Where nobody is
-    /// left to take them, there is nothing to wait for.
+    /// Returns true if other members have taken over the keys: a map without
+    /// this instance is in force, and all its live members are active under
+    /// it. If no live instance is left to take them over, it returns true, as
+    /// there is nothing to wait for.
     fn has_handed_over(&self) -> bool {
         if self.owner.is_member() {
-            let near = |peer: &&Peer| peer.listed.domain == self.config.domain;
-            let mut peers = self.members.peers.values().filter(near);
+            let is_local = |peer: &&Peer| peer.listed.domain == self.config.domain;
+            let mut peers = self.members.peers.values().filter(is_local);
             return !peers.any(|peer| self.is_live(peer) && !peer.draining);
         }
         let map = self.owner.map();
-        let acts = |peer: &Peer| peer.reading().is_some_and(|reading| reading.epoch == map.epoch);
-        let named = map.members.iter().filter_map(|m| self.members.peers.get(&m.name));
-        named.filter(|p| self.is_live(p)).all(acts)
+        let is_active =
+            |peer: &Peer| peer.reading().is_some_and(|reading| reading.epoch == map.epoch);
+        let members = map.members.iter().filter_map(|m| self.members.peers.get(&m.name));
+        members.filter(|p| self.is_live(p)).all(is_active)
     }
 }
--- a/crates/xtask/src/guards.rs
+++ b/crates/xtask/src/guards.rs
@@ -54,15 +54,15 @@
     Guard {
         name: "wait for a removed member's lease",
         file: OWNER,
-        find: "false => heard.after(fence_ms),",
-        replace: "false => heard,",
+        find: "false => last_handoff.after(fence_ms),",
+        replace: "false => last_handoff,",
         proof: KEYED,
     },
     Guard {
         name: "wait where no member stays",
         file: OWNER,
         find: "true => self.without_promises(old.at),",
-        replace: "true => heard,",
+        replace: "true => last_handoff,",
         proof: "owner",
     },
     Guard {
@@ -82,8 +82,8 @@
     Guard {
         name: "wait for a hand-over from members that stay",
         file: OWNER,
-        find: "return heard.after(fence_ms + self.config.lease_ms);",
-        replace: "return heard;",
+        find: "return last_handoff.after(fence_ms + self.config.lease_ms);",
+        replace: "return last_handoff;",
         proof: "owner",
     },
     Guard {
