--- a/crates/hollywell/src/core/claim.rs
+++ b/crates/hollywell/src/core/claim.rs
@@ -1,11 +1,13 @@
 //! Claims on idempotency keys: whether a keyed request runs, joins a running
 //! one, is answered from memory, or is refused.
 //!
-//! A [`Claims`] is what one instance knows about keys. It holds claims of three
-//! origins: made here as owner, copied here as replica, inherited at a change
-//! of ownership. It leaves out who the owner is (see [`crate::core::owner`])
-//! and the answers' bytes, which stay with the traffic side under the
-//! dispatch that produced them.
+//! [`Claims`] holds the claims that one instance knows: those that it made as
+//! owner, those that it copied as replica, and those that it inherited at a
+//! change of ownership.
+//!
+//! Not part of this module: which instance is the owner
+//! ([`crate::core::owner`]), and the bytes of the answers, which the traffic
+//! layer stores under the dispatch that produced them.
 
 use std::collections::BTreeMap;
 
@@ -16,58 +18,60 @@
     time::Time,
 };
 
-/// How far a claim has come.
+/// The state of a claim.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Phase {
-    /// Made here; the replica has not confirmed its copy yet.
+    /// Made at this instance; the replica has not confirmed its copy yet.
     #[serde(rename = "asking")]
     Replicating,
-    /// Dispatched to a target; the answer is awaited.
+    /// Dispatched to a target; the answer is pending.
     Running(Dispatch),
-    /// A whole answer came back and is kept under this dispatch.
+    /// A complete answer was received and is stored under this dispatch.
     Done(Dispatch),
-    /// It may have run, and no answer is kept here.
+    /// The request may have run, and no answer is stored here.
     Uncertain,
-    /// Refused as not run, as this number in the order of refusals here.
-    /// Sends whose entry had not heard of that number must not run.
+    /// Refused as "not run", with the number of the refusal. Sends whose entry
+    /// did not know of that refusal yet must not run.
     Refused(u64),
 }
 
-/// What is known of one key.
+/// What is known about a key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claim {
-    /// Hash of method, path and body, to tell a re-send from a reused key.
+    /// Hash of method, path and body, to distinguish a retry from a reused
+    /// key.
     pub digest: u64,
-    /// How far it has come.
+    /// State of the claim.
     pub phase: Phase,
-    /// When the phase was entered.
+    /// When the claim entered this state.
     pub at: Time,
-    /// Requests at this instance that await the answer.
+    /// Requests at this instance that wait for the answer.
     pub waiters: Vec<Request>,
 }
 
 /// What to do with a send of a key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// Nothing is known against it: claim it.
+    /// No claim prevents a run: claim the key.
     Fresh,
-    /// Another send is under way: the request was added to its waiters.
+    /// Another send is in progress: the request was added to its waiters.
     Joined,
-    /// Answer with what this dispatch produced.
+    /// Answer with the stored result of this dispatch.
     Replay(Dispatch),
-    /// It may have run, and there is no answer to give.
+    /// The request may have run, and no answer is available.
     Uncertain,
-    /// The send arrived before an earlier refusal and must not run.
+    /// The send arrived at its entry before a refusal of the key was known
+    /// there, and must not run.
     Superseded,
-    /// The key belongs to a different request.
+    /// The key was used for a different request.
     Mismatch,
 }
 
 /// A key and its digest, as handed from one instance to another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Copy {
-    /// The idempotency key.
+    /// Idempotency key.
     pub key: String,
     /// Hash of the request.
     pub digest: u64,
@@ -75,7 +79,7 @@
     pub age_ms: u64,
 }
 
-/// The claims that one instance knows.
+/// The claims that one instance knows, by key.
 ///
 /// # Example
 ///
@@ -86,8 +90,8 @@
 /// assert_eq!(claims.judge("k", 7, 4, Request(1)), Verdict::Fresh);
 /// claims.claim("k", 7, Time(10), Request(1));
 /// claims.refuse("k", 5, Time(20));
-/// // A send that reached its entry before the refusal was heard of there
-/// // must never run: the caller has been told that the key did not.
+/// // A send that reached its entry before the refusal was known there must
+/// // never run: the caller has been told that the key did not run.
 /// assert_eq!(claims.judge("k", 7, 4, Request(2)), Verdict::Superseded);
 /// assert_eq!(claims.judge("k", 7, 5, Request(3)), Verdict::Fresh);
 /// ```
@@ -97,8 +101,8 @@
 }
 
 impl Claims {
-    /// Judges a send of `key` whose entry had heard of refusals up to the
-    /// number `seen` before the send arrived there.
+    /// Judges a send of `key` whose entry knew of refusals up to number `seen`
+    /// when the send arrived there.
     ///
     /// A send that joins a running one is added to its waiters; no other
     /// verdict changes the claims.
@@ -121,13 +125,14 @@
         }
     }
 
-    /// Claims a key for a request, before its copy is confirmed.
+    /// Claims a key for a request, before the replica has confirmed its copy.
     pub fn claim(&mut self, key: &str, digest: u64, now: Time, request: Request) {
         let claim = Claim { digest, phase: Phase::Replicating, at: now, waiters: vec![request] };
         self.claims.insert(key.to_owned(), claim);
     }
 
-    /// Keeps another instance's claim. What is known here already stays.
+    /// Stores a copy of another instance's claim, unless a claim that may have
+    /// run is known already.
     pub fn keep(&mut self, copy: &Copy, now: Time) {
         let at = Time(now.0.saturating_sub(copy.age_ms));
         let known = self.claims.get(&copy.key);
@@ -138,35 +143,35 @@
         self.claims.insert(copy.key.clone(), claim);
     }
 
-    /// Moves a claim to `phase`, and returns the requests that awaited it
-    /// if the phase is a final one.
+    /// Moves a claim to `phase`. If that is a final state, returns the requests
+    /// that waited for it.
     pub fn advance(&mut self, key: &str, phase: Phase, now: Time) -> Vec<Request> {
         let Some(claim) = self.claims.get_mut(key) else {
             return vec![];
         };
-        let finished = !matches!(phase, Phase::Replicating | Phase::Running(_));
+        let is_final = !matches!(phase, Phase::Replicating | Phase::Running(_));
         claim.phase = phase;
         claim.at = now;
-        if finished { std::mem::take(&mut claim.waiters) } else { vec![] }
+        if is_final { std::mem::take(&mut claim.waiters) } else { vec![] }
     }
 
-    /// Marks a key as refused, with `order` as the refusal's number, and
-    /// returns who awaited it.
+    /// Marks a key as refused, with `order` as the number of the refusal, and
+    /// returns the requests that waited for it.
     pub fn refuse(&mut self, key: &str, order: u64, now: Time) -> Vec<Request> {
         self.advance(key, Phase::Refused(order), now)
     }
 
-    /// What is known of a key.
+    /// Returns the claim on a key, if any.
     #[must_use]
     pub fn get(&self, key: &str) -> Option<&Claim> {
         self.claims.get(key)
     }
 
-    /// Everything that may have run, for a hand-over.
+    /// Returns copies of all claims on keys that may have run, for a hand-over.
     ///
-    /// Refused keys are left out, because the receiver refuses sends that
-    /// arrived before its activation. Keys that were claimed here and never
-    /// dispatched are left out too: they certainly did not run.
+    /// Refused keys are omitted, because the receiver refuses all sends that
+    /// arrived before its activation. Keys that were claimed here but not
+    /// dispatched are omitted too: they certainly did not run.
     #[must_use]
     pub fn copies(&self, now: Time) -> Vec<Copy> {
         let may_have_run =
@@ -182,8 +187,8 @@
             .collect()
     }
 
-    /// Gives up every claim that was not dispatched yet, and returns the
-    /// keys with the requests that awaited them.
+    /// Removes all claims that were not dispatched yet, and returns their keys
+    /// with the requests that waited for them.
     pub fn abandon(&mut self) -> Vec<(String, Vec<Request>)> {
         let keys: Vec<String> = self
             .claims
@@ -196,28 +201,28 @@
             .collect()
     }
 
-    /// Forgets claims that are older than the callers' retry horizon, and
-    /// returns the dispatches whose answers need not be kept any longer.
+    /// Removes claims that are older than the callers' retry horizon, and
+    /// returns the dispatches whose stored answers can be dropped.
     pub fn expire(&mut self, now: Time, horizon_ms: u64) -> Vec<Dispatch> {
-        let mut forgotten = vec![];
+        let mut expired = vec![];
         self.claims.retain(|_, claim| {
-            let live = matches!(claim.phase, Phase::Replicating | Phase::Running(_));
-            let keep = live || now.since(claim.at) < horizon_ms;
+            let is_pending = matches!(claim.phase, Phase::Replicating | Phase::Running(_));
+            let keep = is_pending || now.since(claim.at) < horizon_ms;
             if let (false, Phase::Done(dispatch)) = (keep, &claim.phase) {
-                forgotten.push(*dispatch);
+                expired.push(*dispatch);
             }
             keep
         });
-        forgotten
+        expired
     }
 
-    /// Number of keys known.
+    /// Returns the number of claims.
     #[must_use]
     pub fn len(&self) -> usize {
         self.claims.len()
     }
 
-    /// True if no key is known.
+    /// Returns true if there are no claims.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.claims.is_empty()
--- a/crates/hollywell/src/core/effect.rs
+++ b/crates/hollywell/src/core/effect.rs
@@ -1,4 +1,4 @@
-//! Everything that the reducer asks the rest of the process to do, as data.
+//! Effects: the outputs of the reducer, as data.
 
 use serde::{Deserialize, Serialize};
 
@@ -19,30 +19,30 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Reply {
-    /// What the target answered to this dispatch.
+    /// The target's answer to this dispatch.
     Stored(Dispatch),
-    /// What the key's owner sent back with the forwarded call.
+    /// The answer that the key's owner returned for the forwarded call.
     Relayed,
     /// A refusal.
     Refused(error::Kind),
-    /// What became of an edit.
+    /// The outcome of an edit.
     Edited(table::Outcome),
 }
 
-/// An order to an engine to serve a version.
+/// An order to an engine to load a weight version.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Order {
-    /// The holder's fencing number.
+    /// Fencing token of the lease holder.
     pub fence: u64,
-    /// Who gives the order.
+    /// Lease holder that gives the order.
     pub holder: Instance,
-    /// The trainer whose weights are meant.
+    /// Trainer whose weights to load.
     pub trainer: String,
-    /// The version to serve.
+    /// Version to load.
     pub version: u64,
 }
 
-/// Everything that the reducer can ask for.
+/// An output of the reducer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Effect {
@@ -54,9 +54,9 @@
         dispatch: Dispatch,
         /// The target's address.
         address: String,
-        /// Instant after which it must not be sent.
+        /// Time after which the request must not be sent.
         before: Time,
-        /// Instant by which the answer must be whole.
+        /// Time by which the answer must be complete.
         deadline: Time,
     },
     /// Send a request to the owner of its key.
@@ -65,7 +65,7 @@
         request: Request,
         /// The owner's address.
         address: String,
-        /// What goes with it.
+        /// The call and what the owner needs to judge it.
         forward: Forward,
     },
     /// Answer a request.
@@ -74,71 +74,71 @@
         request: Request,
         /// The answer.
         reply: Reply,
-        /// What this instance says of itself as an owner, for an entry that
-        /// forwarded the request.
+        /// This instance's reading as an owner, for an entry that forwarded
+        /// the request.
         reading: Option<Reading>,
     },
-    /// Drop the answer kept for a dispatch.
+    /// Drop the stored answer of a dispatch.
     Forget {
         /// The dispatch.
         dispatch: Dispatch,
     },
     /// Send a control message.
     Send {
-        /// This instance, as it is to be named to the peer.
+        /// This instance's id, as the sender of the message.
         from: Instance,
         /// The peer's address.
         address: String,
         /// The message.
         message: Message,
     },
-    /// Append a record to the log. It may be lost, and it may be appended
-    /// although no answer comes; the fold copes with both.
+    /// Append a record to the log. The record may be lost, or it may be
+    /// appended although the reply is lost; the fold handles both cases.
     Append {
         /// The record.
         record: Record,
     },
-    /// Ask an engine for a sample.
+    /// Generate a sample at an engine.
     Generate {
         /// The request that opened the step.
         request: Request,
         /// The attempt.
         dispatch: Dispatch,
-        /// The sample's place.
+        /// The sample's slot in the step.
         slot: Slot,
         /// The engine's address.
         address: String,
-        /// Its place in the engine's queue; lower goes first.
+        /// Priority in the engine's queue; lower values go first.
         priority: u8,
-        /// Instant by which it must be whole.
+        /// Time by which the sample must be complete.
         deadline: Time,
     },
-    /// Stop an attempt whose result is not wanted any longer.
+    /// Cancel an attempt whose result is no longer needed.
     Cancel {
         /// The attempt.
         dispatch: Dispatch,
     },
-    /// Pass a whole sample on to its trainer.
+    /// Deliver a complete sample to its trainer.
     Deliver {
         /// The request that opened the step.
         request: Request,
         /// The attempt that produced it.
         dispatch: Dispatch,
-        /// The sample's place.
+        /// The sample's slot in the step.
         slot: Slot,
-        /// The versions that produced it, in order.
+        /// The weight versions that produced it, in order.
         versions: Vec<u64>,
     },
     /// End a step's stream.
     EndStep {
-        /// The request that opened it.
+        /// The request that opened the step.
         request: Request,
-        /// Slots that were not delivered.
+        /// Number of slots that were not delivered.
         missing: usize,
-        /// Why the stream ends: `None` if the step is whole.
+        /// Why the stream ends early; `None` if the step is complete.
         reason: Option<error::Kind>,
     },
-    /// Give an order to an engine.
+    /// Send an order to an engine.
     Order {
         /// The engine's name.
         target: String,
@@ -146,35 +146,35 @@
         address: String,
         /// The order.
         order: Order,
-        /// Instant after which it must not be sent.
+        /// Time after which the order must not be sent.
         before: Time,
     },
-    /// Count something that callers cannot see.
+    /// Increment a counter.
     Count(Counted),
-    /// End the process: everything was handed over.
+    /// Exit the process: all keys were handed over.
     Exit,
 }
 
-/// Things that are counted.
+/// A counter of events that callers cannot see.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Counted {
-    /// A sample for a slot that was delivered before.
+    /// Samples for slots that had already been delivered.
     SampleDuplicate,
-    /// A sample older than its trainer's bound.
+    /// Samples whose weights were older than the trainer's bound.
     SampleStale,
-    /// A sample that named no version.
+    /// Samples whose engine named no weight version.
     SampleUnversioned,
-    /// A sample that failed and runs again.
+    /// Samples that failed and run again.
     SampleFailed,
-    /// A sample delivered.
+    /// Samples that were delivered.
     SampleDelivered,
-    /// A straggler run a second time.
+    /// Hedged attempts at stragglers.
     Hedge,
-    /// A request tried at another target.
+    /// Requests retried at another target.
     Retry,
-    /// A keyed request answered from memory.
+    /// Keyed requests answered with a stored answer.
     Replay,
-    /// A change of the ownership map taken into force.
+    /// Activations of this instance under a new ownership map.
     Activation,
 }
--- a/crates/hollywell/src/core/event.rs
+++ b/crates/hollywell/src/core/event.rs
@@ -1,7 +1,7 @@
-//! Everything that can happen to an instance, as data.
+//! Events: the inputs of the reducer, as data.
 //!
-//! Events carry no bodies. Each can be written and read with `serde`, so a
-//! recorded run can be fed to the reducer again.
+//! Events contain no bodies. They implement `serde`'s traits, so that a
+//! recorded run can be replayed through the reducer.
 
 use serde::{Deserialize, Serialize};
 
@@ -21,13 +21,13 @@
 /// A caller's request for a plain service or a live completion.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Call {
-    /// The pool of targets that it is for.
+    /// Pool of targets that serves the call.
     pub pool: String,
-    /// True if running it twice does no harm.
+    /// True if the call may safely run more than once.
     pub idempotent: bool,
-    /// The caller's idempotency key.
+    /// Idempotency key, if the caller sent one.
     pub key: Option<String>,
-    /// The failure domain that the caller named as the key's home.
+    /// Failure domain that the caller named as the key's home.
     pub home: Option<String>,
     /// Hash of method, path and body.
     pub digest: u64,
@@ -35,28 +35,28 @@
     pub timeout_ms: u64,
 }
 
-/// A call on its way to the owner of its key.
+/// A call that is forwarded to the owner of its key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Forward {
     /// The call.
     pub call: Call,
-    /// The owner that it is meant for.
+    /// Owner that the call is addressed to.
     pub owner: Instance,
-    /// The epoch in which the owner is asked to act.
+    /// Epoch in which the owner is to act.
     pub epoch: u64,
-    /// The owner's refusals that the entry had heard of before the call
+    /// Number of the owner's refusals that the entry knew of before the call
     /// arrived there.
     pub seen: u64,
-    /// The call's deadline on the owner's clock.
+    /// Deadline of the call on the owner's clock.
     pub until: Time,
 }
 
-/// What an owner says to a forwarded call.
+/// An owner's reply to a forwarded call.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ForwardResult {
-    /// `None` if the target's answer follows, else why it was refused.
+    /// Why the call was refused; `None` if the target's answer follows.
     pub refused: Option<error::Kind>,
-    /// The owner's reading at that moment, if it is active.
+    /// The owner's reading at the time of the reply, if it is active.
     pub reading: Option<Reading>,
 }
 
@@ -64,13 +64,14 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum End {
-    /// A whole answer came back.
+    /// A complete answer was received.
     Answered,
-    /// The connection was refused, or the time was up before sending.
+    /// The connection was refused, or the time limit passed before the request
+    /// was sent.
     NotSent,
-    /// The target said that it did not run it.
+    /// The target reported that it did not run the request.
     NotRun,
-    /// Anything else: it may have run.
+    /// Any other failure: the request may have run.
     Broken,
 }
 
@@ -78,61 +79,62 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Message {
-    /// A heartbeat, answered with an [`Message::Echo`].
+    /// A heartbeat, which is answered with a [`Message::Echo`].
     #[serde(rename = "beat")]
     Heartbeat {
-        /// The sender's clock.
+        /// Time on the sender's clock.
         sent: Time,
-        /// The sender's folded offset.
+        /// Offset up to which the sender has folded the log.
         next: u64,
         /// Targets that the sender knows to be leaving.
         leaving: Vec<String>,
-        /// Weights of the trainers that have a step open at the sender.
+        /// Sum of the weights of the trainers with an open step at the sender.
         #[serde(default)]
         demand: u32,
     },
     /// The answer to a heartbeat.
     Echo {
-        /// The clock reading of the heartbeat.
+        /// The heartbeat's `sent` time.
         sent: Time,
-        /// Epoch of the newest map of its failure domain that it knows.
+        /// Epoch of the newest map that the sender knows of its own failure
+        /// domain.
         epoch: u64,
-        /// Its reading, if it is active in that epoch.
+        /// The sender's reading, if it is active in that epoch.
         reading: Option<Reading>,
-        /// Its folded offset.
+        /// Offset up to which the sender has folded the log.
         next: u64,
-        /// True if it is stopping.
+        /// True if the sender is stopping.
         draining: bool,
     },
-    /// An owner asks its replica to keep a copy of a claim.
+    /// An owner's request to the replica to store a copy of a claim.
     Claim {
-        /// The epoch of the claim.
+        /// Epoch of the claim.
         epoch: u64,
-        /// The key.
+        /// Idempotency key.
         key: String,
         /// Hash of the request.
         digest: u64,
     },
-    /// The replica has the copy.
+    /// The replica's confirmation that it has the copy.
     Claimed {
-        /// The epoch of the claim.
+        /// Epoch of the claim.
         epoch: u64,
-        /// The key.
+        /// Idempotency key.
         key: String,
     },
-    /// What a member hands over at a change of the map.
+    /// State that a member hands over when the map changes.
     Handoff(Handoff),
-    /// Asks for the agreed state.
+    /// A request for the agreed state.
     Pull,
     /// The agreed state.
     Push(Box<Snapshot>),
 }
 
-/// Everything that can happen to an instance.
+/// An input of the reducer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Event {
-    /// Time has passed; comes several times a second.
+    /// Time has passed; sent several times a second.
     Tick,
     /// The platform's list was read.
     Listed(Vec<Listed>),
@@ -140,11 +142,11 @@
     LogRead {
         /// When the read was sent.
         sent: Time,
-        /// The oldest offset that the log keeps.
+        /// The oldest offset that the log retains.
         first: u64,
         /// Records with their offsets, in order.
         records: Vec<(u64, Record)>,
-        /// True if there was nothing after them.
+        /// True if the read reached the end of the log.
         at_end: bool,
     },
     /// A peer sent a control message.
@@ -158,15 +160,15 @@
     Call {
         /// The request.
         request: Request,
-        /// When it arrived at the earliest: for a process that was paused,
-        /// when the pause began.
+        /// Earliest time at which the request can have arrived. After a pause
+        /// of the process it is the start of the pause.
         arrived: Time,
-        /// What it asks for.
+        /// The call.
         call: Call,
     },
     /// A peer forwarded a call to this instance as the key's owner.
     Forwarded {
-        /// The request, numbered here.
+        /// The request, with an id assigned by this instance.
         request: Request,
         /// The call.
         forward: Forward,
@@ -175,19 +177,19 @@
     ForwardEnded {
         /// The request.
         request: Request,
-        /// What the owner said; `None` if no whole answer came.
+        /// The owner's reply; `None` if no complete reply was received.
         result: Option<ForwardResult>,
     },
     /// An attempt at a target ended.
     TargetEnded {
         /// The attempt.
         dispatch: Dispatch,
-        /// How.
+        /// How it ended.
         end: End,
-        /// True if the target said that it is leaving.
+        /// True if the target reported that it is leaving.
         leaving: bool,
     },
-    /// The caller of a request has gone.
+    /// The caller of a request disconnected.
     CallerGone {
         /// The request.
         request: Request,
@@ -196,7 +198,7 @@
     Loaded {
         /// The engine.
         target: String,
-        /// The report; `None` if it could not be had.
+        /// The report; `None` if it could not be read.
         load: Option<Load>,
     },
     /// The weight store has a version of a trainer.
@@ -210,17 +212,17 @@
     StepOpened {
         /// The request whose answer carries the samples.
         request: Request,
-        /// What the trainer asks for.
+        /// The samples that the trainer requests.
         opening: rollout::Opening,
     },
     /// An engine's stream for a sample ended.
     SampleEnded {
         /// The attempt.
         dispatch: Dispatch,
-        /// How.
+        /// How it ended.
         end: rollout::End,
     },
-    /// An operator asks for a change to the table.
+    /// An operator requested a change to the table.
     Edit {
         /// The request.
         request: Request,
@@ -231,9 +233,9 @@
     OrderEnded {
         /// The engine.
         target: String,
-        /// True if the engine took it.
+        /// True if the engine accepted it.
         taken: bool,
     },
-    /// The instance is asked to stop.
+    /// The instance was asked to stop.
     Drain,
 }
--- a/crates/hollywell/src/core/id.rs
+++ b/crates/hollywell/src/core/id.rs
@@ -1,24 +1,24 @@
-//! Names of the things that events speak of.
+//! Identifiers of instances, requests and dispatches.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// One run of one hollywell process.
+/// Id of one run of a hollywell process.
 ///
-/// The name comes from the settings and is reused by a replacement; the
-/// incarnation is larger for every later run, so that two runs of one name
-/// are never taken for each other.
+/// The name comes from the settings and is reused by a replacement. The
+/// incarnation increases with every run, so that two runs with the same name
+/// are never confused.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Instance {
     /// The configured name.
     pub name: String,
-    /// Larger for every later run of that name.
+    /// Number that increases with every run of that name.
     pub incarnation: u64,
 }
 
 impl Instance {
-    /// Names one run of an instance.
+    /// Creates the id of one run of an instance.
     #[must_use]
     pub fn new(name: &str, incarnation: u64) -> Instance {
         Instance { name: name.to_owned(), incarnation }
@@ -31,12 +31,12 @@
     }
 }
 
-/// A caller's request at one instance, unique within that instance's run.
+/// Id of a caller's request, unique within an instance's run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Request(pub u64);
 
-/// One attempt at a target, unique within an instance's run.
+/// Id of an attempt at a target, unique within an instance's run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Dispatch(pub u64);
--- a/crates/hollywell/src/core/lease.rs
+++ b/crates/hollywell/src/core/lease.rs
@@ -1,14 +1,16 @@
-//! The lease on giving orders to a failure domain's engines.
+//! The lease that entitles an instance to give orders to a failure domain's
+//! engines.
 //!
-//! A grant is a record on the log, and its offset is the fencing number that
-//! goes with every order. The holder counts its time from before it sent the
-//! record; a challenger counts from after it read the last renewal, and adds
-//! a guard for clock drift. Two instances may still both believe that they
-//! hold it for a moment (a pause between check and send cannot be excluded),
-//! so orders are made safe to repeat and are compared with what the target
-//! reports; the fencing number settles the rest where targets check it.
+//! A grant is a record on the log; its offset is the fencing token that is sent
+//! with every order. The holder counts the lease from before it sent the
+//! record. A challenger counts from after it read the last renewal, and adds a
+//! guard time for clock drift. Two instances may still both believe for a
+//! moment that they hold the lease, because a pause between check and send
+//! cannot be excluded. Orders are therefore safe to repeat and are compared
+//! with what the targets report; targets that check the fencing token reject
+//! the rest.
 //!
-//! What it leaves out: the orders themselves (the reducer compares desired
+//! Not part of this module: the orders themselves (the reducer compares desired
 //! with observed versions).
 
 use std::collections::BTreeMap;
@@ -17,24 +19,24 @@
 
 use crate::core::{id::Instance, time::Time};
 
-/// A grant or a renewal, as a record on the log.
+/// A claim to acquire or renew a lease, as a record on the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claim {
-    /// The failure domain whose targets take the orders.
+    /// Failure domain whose targets receive the orders.
     pub domain: String,
-    /// Who wants the lease.
+    /// Instance that claims the lease.
     pub holder: Instance,
-    /// Offset of the record that it follows: the last renewal that the
-    /// claimant knew; `None` for the first.
+    /// Offset of the last renewal that the claimant knew; `None` for the first
+    /// claim.
     pub base: Option<u64>,
 }
 
-/// Who holds a lease, as folded from the log.
+/// The holder of a lease, as folded from the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Grant {
     /// The holder.
     pub holder: Instance,
-    /// Offset of the grant; the fencing number of the holder's orders.
+    /// Offset of the grant; the fencing token of the holder's orders.
     pub fence: u64,
     /// Offset of the last renewal.
     pub renewed: u64,
@@ -53,8 +55,8 @@
 /// let mut leases = Leases::default();
 /// assert!(leases.apply(3, &claim("a", None)));
 /// assert!(leases.apply(8, &claim("a", Some(3))));
-/// // A renewal keeps the fencing number; a challenger that had not read the
-/// // renewal loses.
+/// // A renewal keeps the fencing token. A challenger that had not read the
+/// // renewal is rejected.
 /// assert_eq!(leases.0["boa-viagem"].fence, 3);
 /// assert!(!leases.apply(9, &claim("b", Some(3))));
 /// ```
@@ -77,12 +79,12 @@
     }
 }
 
-/// What to do about the lease now.
+/// What an instance has to do about the lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// Append a claim, as a renewal or as a challenge.
+    /// Append a claim, to renew the lease or to challenge its holder.
     Claim,
-    /// Nothing yet.
+    /// Do nothing.
     Wait,
 }
 
@@ -97,32 +99,33 @@
 }
 
 impl State {
-    /// Notes the grant in force, as read from the log at `now`.
-    pub fn observe(&mut self, me: &Instance, grant: &Grant, now: Time, lease_ms: u64) {
+    /// Records the current grant, as read from the log at `now`.
+    pub fn observe(&mut self, local: &Instance, grant: &Grant, now: Time, lease_ms: u64) {
         if self.seen == Some(grant.renewed) {
             return;
         }
         self.seen = Some(grant.renewed);
         self.seen_at = now;
         self.last_sent = None;
-        // Whichever of the repeated claims was accepted, none was sent
+        // Any of the repeated claims may have been accepted, but none was sent
         // before the first.
         let sent = self.first_sent.take();
-        if grant.holder != *me {
+        if grant.holder != *local {
             self.held_until = Time(0);
         } else if let Some(sent) = sent {
             self.held_until = sent.after(lease_ms);
         }
     }
 
-    /// Until when this instance may send orders; the past if it may not.
+    /// Returns until when this instance may send orders; a time in the past if
+    /// it may not.
     #[must_use]
     pub fn held_until(&self) -> Time {
         self.held_until
     }
 
-    /// Says whether to append a claim now: a renewal at a third of the
-    /// lease, a challenge once the holder's lease must have run out.
+    /// Returns whether to append a claim now. A renewal is due after a third of
+    /// the lease, a challenge once the holder's lease must have expired.
     pub fn step(&mut self, is_holder: bool, now: Time, lease_ms: u64, guard_ms: u64) -> Step {
         let retry_at = self.last_sent.map(|sent| sent.after(lease_ms / 3));
         if retry_at.is_some_and(|at| now < at) {
--- a/crates/hollywell/src/core/member.rs
+++ b/crates/hollywell/src/core/member.rs
@@ -1,12 +1,12 @@
-//! Which instances and targets there are, and which are usable.
+//! Membership: which instances and targets exist, and which are usable.
 //!
-//! The platform's list lags behind reality, so it is joined with direct
-//! evidence: answers of peers to heartbeats, connections that targets
-//! refuse, and targets that say themselves that they are leaving. Evidence
-//! that a target leaves is sticky: a list that still says "live" does not
-//! undo it until the target has been off the list or has moved.
+//! The platform's list lags behind reality, so it is combined with direct
+//! evidence: peers' answers to heartbeats, connections that targets refuse, and
+//! targets that report that they are leaving. Evidence that a target is leaving
+//! is sticky: a list that still shows the target as live does not override it,
+//! until the target has been removed from the list or its address has changed.
 //!
-//! What it leaves out: choosing among the usable ones
+//! Not part of this module: the choice among usable targets
 //! ([`crate::core::route`]).
 
 use std::collections::{BTreeMap, VecDeque};
@@ -15,10 +15,10 @@
 
 use crate::core::{id::Instance, retry::Breaker, time::Time};
 
-/// How many readings of a peer are kept.
+/// Number of readings that are kept for each peer.
 const READING_LIMIT: usize = 8;
 
-/// What a listed process is.
+/// The kind of a listed process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Kind {
@@ -30,55 +30,55 @@
     Service,
 }
 
-/// One line of the platform's list.
+/// An entry of the platform's list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Listed {
     /// Unique name.
     pub name: String,
-    /// What it is.
+    /// Kind of the process.
     pub kind: Kind,
-    /// The pool of targets that it belongs to; empty for instances.
+    /// Pool of targets that it belongs to; empty for instances.
     #[serde(default)]
     pub pool: String,
-    /// Its failure domain.
+    /// Failure domain of the process.
     pub domain: String,
-    /// Address and port. For an instance, where its peers reach it.
+    /// Address and port; for an instance, those for its peers.
     pub address: String,
-    /// True if the platform says that it is leaving.
+    /// True if the platform reports that it is leaving.
     #[serde(default)]
     pub leaving: bool,
 }
 
-/// What an engine reports about itself.
+/// An engine's load report.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Load {
-    /// Requests that it can generate for at once.
+    /// Number of requests that it can process at the same time.
     pub slots: u32,
-    /// Requests that it generates for.
+    /// Number of requests that it is processing.
     pub running: u32,
-    /// Requests in its queue.
+    /// Number of requests in its queue.
     pub waiting: u32,
-    /// Weight version served, by trainer.
+    /// Served weight version by trainer.
     pub versions: BTreeMap<String, u64>,
-    /// True if it is about to leave.
+    /// True if it is leaving.
     #[serde(default)]
     pub leaving: bool,
 }
 
-/// A target and what is known of it here.
+/// A target and what this instance knows about it.
 #[derive(Clone, Debug)]
 pub struct Target {
-    /// Its line in the list.
+    /// Entry of the target in the list.
     pub listed: Listed,
-    /// True once the list or direct evidence says that it leaves.
+    /// True once the list or direct evidence shows that it is leaving.
     pub leaving: bool,
-    /// Requests in flight from this instance.
+    /// Number of this instance's requests in flight.
     pub in_flight: u32,
-    /// Rollout samples among them.
+    /// Number of this instance's rollout samples in flight.
     pub samples: u32,
-    /// Its last load report.
+    /// The last load report.
     pub load: Option<Load>,
-    /// Whether recent connections to it failed.
+    /// Circuit breaker for failed connections.
     pub breaker: Breaker,
 }
 
@@ -95,47 +95,48 @@
         }
     }
 
-    /// True if new work may be sent to it now.
+    /// Returns true if new work may be sent to the target now.
     #[must_use]
     pub fn is_usable(&self, now: Time) -> bool {
         !self.leaving && self.breaker.allows(now)
     }
 }
 
-/// What an active owner last said of itself; see [`crate::core::owner`].
+/// A report of an active owner about itself; see [`crate::core::owner`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Reading {
-    /// Who said it.
+    /// The owner.
     pub from: Instance,
-    /// The epoch in which it is active.
+    /// Epoch in which the owner is active.
     pub epoch: u64,
-    /// How many refusals it had numbered.
+    /// Number of refusals that the owner had made.
     pub order: u64,
-    /// Its clock.
+    /// Time on the owner's clock.
     pub clock: Time,
 }
 
-/// Another entry instance and what is known of it here.
+/// Another entry instance and what this instance knows about it.
 #[derive(Clone, Debug)]
 pub struct Peer {
-    /// Its line in the list.
+    /// Entry of the peer in the list.
     pub listed: Listed,
-    /// The run that last answered.
+    /// Id of the run that last answered a heartbeat.
     pub instance: Option<Instance>,
-    /// When its last answer came.
+    /// When the last answer to a heartbeat was received.
     pub last_seen_at: Option<Time>,
-    /// True if it said that it is stopping.
+    /// True if it reported that it is stopping.
     pub draining: bool,
-    /// Its folded offset, as it last said.
+    /// Offset up to which it has folded the log, as last reported.
     pub next: u64,
-    /// Weights of the trainers with a step open there, as it last said.
+    /// Sum of the weights of the trainers with a step open there, as last
+    /// reported.
     pub demand: u32,
-    /// Its readings as an active owner that told something new, each with
-    /// the time it first came; the newest last.
+    /// Its readings as an active owner, each with the time at which it was
+    /// first received; the newest last. Repeated readings are omitted.
     readings: VecDeque<(Reading, Time)>,
-    /// Its clock as last heard, and when that was.
+    /// Its clock as last received, and when that was.
     clock: Option<(Time, Time)>,
-    /// When it was last sent a heartbeat.
+    /// When the last heartbeat was sent to it.
     pub heartbeat_sent_at: Option<Time>,
 }
 
@@ -154,15 +155,15 @@
         }
     }
 
-    /// Notes a reading of an active owner, heard at `now`.
+    /// Records a reading of an active owner that was received at `now`.
     pub fn record_reading(&mut self, reading: &Reading, now: Time) {
         self.clock = Some((reading.clock, now));
-        let told = |(known, _): &(Reading, Time)| {
+        let is_repeated = |(known, _): &(Reading, Time)| {
             known.from == reading.from
                 && known.epoch == reading.epoch
                 && known.order >= reading.order
         };
-        if self.readings.back().is_some_and(told) {
+        if self.readings.back().is_some_and(is_repeated) {
             return;
         }
         self.readings.push_back((reading.clone(), now));
@@ -171,14 +172,14 @@
         }
     }
 
-    /// The newest reading as an active owner.
+    /// Returns the newest reading as an active owner.
     #[must_use]
     pub fn reading(&self) -> Option<&Reading> {
         self.readings.back().map(|(reading, _)| reading)
     }
 
-    /// How many refusals of `owner` in `epoch` had been heard of before
-    /// `arrived`; zero if none was.
+    /// Returns the number of refusals of `owner` in `epoch` that were known
+    /// here before `arrived`; zero if none were.
     #[must_use]
     pub fn refusals_before(&self, arrived: Time, owner: &Instance, epoch: u64) -> u64 {
         let before = |(reading, at): &&(Reading, Time)| {
@@ -188,20 +189,21 @@
         newest.map_or(0, |(reading, _)| reading.order)
     }
 
-    /// A lower bound of the peer's clock at the local instant `at`.
+    /// Returns a lower bound of the peer's clock at the local time `at`.
     #[must_use]
     pub fn clock_at(&self, at: Time) -> Option<Time> {
-        self.clock.map(|(clock, heard_at)| clock.after(at.since(heard_at)))
+        self.clock.map(|(clock, received_at)| clock.after(at.since(received_at)))
     }
 
-    /// True if it answered within the last `window_ms` milliseconds.
+    /// Returns true if the peer answered within the last `window_ms`
+    /// milliseconds.
     #[must_use]
     pub fn is_live(&self, now: Time, window_ms: u64) -> bool {
         self.last_seen_at.is_some_and(|at| now.since(at) < window_ms)
     }
 }
 
-/// All instances and targets known here.
+/// All instances and targets that are known here.
 #[derive(Clone, Debug, Default)]
 pub struct Members {
     /// Targets by name.
@@ -211,17 +213,18 @@
 }
 
 impl Members {
-    /// Takes a new list; `me` is left out of the peers.
+    /// Updates the members from a new list. The instance named `local` is not
+    /// added to the peers.
     ///
-    /// What is known of a process survives as long as its name and address
-    /// stay listed.
-    pub fn take_list(&mut self, list: Vec<Listed>, me: &str) {
+    /// What is known about a process is kept as long as its name is listed with
+    /// the same address.
+    pub fn take_list(&mut self, list: Vec<Listed>, local: &str) {
         let mut targets = std::mem::take(&mut self.targets);
         let mut peers = std::mem::take(&mut self.peers);
         for listed in list {
             let name = listed.name.clone();
             match listed.kind {
-                Kind::Instance if name == me => {}
+                Kind::Instance if name == local => {}
                 Kind::Instance => {
                     let known = peers.remove(&name);
                     let same = known.filter(|peer| peer.listed.address == listed.address);
@@ -240,7 +243,8 @@
         }
     }
 
-    /// Notes direct evidence that a target leaves. Returns true if it is new.
+    /// Records direct evidence that a target is leaving. Returns true if that
+    /// was not known yet.
     pub fn mark_leaving(&mut self, name: &str) -> bool {
         let Some(target) = self.targets.get_mut(name) else {
             return false;
@@ -248,14 +252,14 @@
         !std::mem::replace(&mut target.leaving, true)
     }
 
-    /// Names of the targets known to be leaving.
+    /// Returns the names of the targets that are known to be leaving.
     #[must_use]
     pub fn leaving(&self) -> Vec<String> {
         let leaving = self.targets.values().filter(|target| target.leaving);
         leaving.map(|target| target.listed.name.clone()).collect()
     }
 
-    /// True if any target of the pool is listed.
+    /// Returns true if any target of the pool is listed.
     #[must_use]
     pub fn has_pool(&self, pool: &str) -> bool {
         self.targets.values().any(|target| target.listed.pool == pool)
--- a/crates/hollywell/src/core/mod.rs
+++ b/crates/hollywell/src/core/mod.rs
@@ -1,30 +1,30 @@
-//! The decisions of hollywell, as pure code.
+//! The decision logic of hollywell, without side effects.
 //!
-//! Everything in here is a function of a state, a time and an event: no
-//! clock, no I/O, no async runtime, no locks. [`reducer::State`] composes the
-//! parts; each part also stands alone and knows nothing of its siblings, so
-//! that other programs can embed just one of them.
+//! All code here is a function of a state, a time and an event: it uses no
+//! clock, no I/O, no async runtime and no locks. [`reducer::State`] combines the
+//! modules. Each of them is also usable on its own, so that other programs can
+//! embed a single one.
 //!
-//! | part | decides |
+//! | module | decides |
 //! |---|---|
 //! | [`stream`] | the agreed state, folded from the platform's log |
-//! | [`table`] | what the operators' table says, folded from the log |
+//! | [`table`] | the contents of the operators' table, folded from the log |
 //! | [`owner`] | who owns an idempotency key, and when it may act |
 //! | [`claim`] | whether a keyed request runs, joins, replays or is refused |
 //! | [`member`] | which instances and targets are usable |
 //! | [`lease`] | who may give orders to a failure domain's engines |
 //! | [`route`] | which target takes a request |
-//! | [`retry`] | whether a failed attempt may be tried again, and when |
-//! | [`pace`] | how fast weights are fetched |
+//! | [`retry`] | whether a failed attempt may be retried, and when |
+//! | [`pace`] | when weights may be fetched |
 //! | [`rollout`] | which samples run next and which are delivered |
 //! | [`ending`] | what becomes of an end that the platform's store has not taken |
 //! | [`hold`] | whether a request that no target can take is held or rejected |
 //! | [`group`] | whether a reading of a group shows all its members |
 //! | [`poison`] | which requests end the targets that run them |
-//! | [`permit`] | what one party of all does at a time |
+//! | [`permit`] | which instance may do what only one may do at a time |
 //! | [`room`] | what the store's room is left for, and how far a log is trimmed |
 //!
-//! What it leaves out: bodies, sockets and threads, which are in
+//! Not part of this module: bodies, sockets and threads, which are in
 //! [`crate::traffic`], [`crate::peer`] and [`crate::control`].
 
 pub mod batch;
--- a/crates/hollywell/src/core/organisation.rs
+++ b/crates/hollywell/src/core/organisation.rs
@@ -1,33 +1,35 @@
-//! Who asks: organisations and the keys by which their callers are known.
+//! Authentication of callers: organisations and their API keys.
 //!
-//! A caller's key is looked up once, at the edge; from there on only the name
-//! of the organisation travels. Keys themselves are not kept: the directory
-//! holds a digest of each, so that no log line, record or peer's word can
-//! give one away.
+//! A caller's key is looked up once, where the request enters; after that only
+//! the name of the organisation is passed on. The directory stores a digest of
+//! each key and not the key itself, so that no log line, record or message to a
+//! peer can leak one.
 //!
-//! What it leaves out: how keys are spelled in a configuration (the adapter
-//! decodes it) and how old the directory may be ([`crate::entry::caller`]).
+//! Not part of this module: how keys are encoded in a configuration (the
+//! platform's adapter decodes them), and how old the directory may be
+//! ([`crate::entry::caller`]).
 
 use std::{collections::HashMap, fmt};
 
 use serde::{Deserialize, Serialize};
 use sha2::{Digest as _, Sha256};
 
-/// The scheme that callers name before their key (RFC 6750, section 2.1).
+/// Authorization scheme of callers (RFC 6750, section 2.1).
 const SCHEME: &str = "Bearer";
-/// Longest header that is looked at, in bytes; keys have a few dozen.
+/// Length of the longest header that is parsed, in bytes. Keys have a few dozen
+/// bytes.
 const MAX_HEADER_BYTES: usize = 4_096;
 
 /// An organisation.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Organisation {
-    /// Its name.
+    /// Unique name.
     pub name: String,
-    /// Rank of its requests, 0 first; goes before the route's.
+    /// Priority of its requests, which overrides the route's; 0 goes first.
     pub priority: Option<u8>,
 }
 
-/// What is kept of a key.
+/// SHA-256 digest of a key.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 struct Digest([u8; 32]);
 
@@ -43,19 +45,19 @@
     }
 }
 
-/// Why a caller is not known.
+/// Why a caller could not be authenticated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AuthError {
-    /// No key was sent.
+    /// The request has no key.
     NoKey,
-    /// What was sent is not one key in the form `Bearer KEY`.
+    /// The request's headers are not a single one of the form `Bearer KEY`.
     Malformed,
     /// No organisation has the key.
     Unknown,
 }
 
 impl AuthError {
-    /// Its name in logs and metrics.
+    /// Returns the name used in logs and metrics.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
         match self {
@@ -77,24 +79,26 @@
 /// let directory = Directory::new([(survey, vec!["s3cret"])]).unwrap();
 /// let caller = |values: &[&str]| directory.caller(values.iter().map(|v| v.as_bytes()));
 /// assert_eq!(caller(&["Bearer s3cret"]).unwrap().name, "survey");
-/// // Two headers are none, whatever they hold.
+/// // Two headers are rejected, even if they are equal.
 /// assert_eq!(caller(&["Bearer s3cret", "Bearer s3cret"]), Err(AuthError::Malformed));
 /// assert_eq!(caller(&[]), Err(AuthError::NoKey));
 /// ```
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Directory {
     organisations: Vec<Organisation>,
-    /// Pairs in a peer's word, since a digest is no text.
+    /// Encoded as a list of pairs in messages to peers, because a digest cannot
+    /// be a JSON key.
     #[serde(with = "pairs")]
     by_key: HashMap<Digest, usize>,
 }
 
 impl Directory {
-    /// The directory of organisations with their keys.
+    /// Creates a directory of organisations with their keys.
     ///
     /// # Errors
     ///
-    /// If a name or a key is empty, or stands twice. Keys are not named.
+    /// Returns an error if a name or a key is empty or occurs twice. The
+    /// message does not contain the key.
     pub fn new<'a>(
         all: impl IntoIterator<Item = (Organisation, Vec<&'a str>)>,
     ) -> Result<Directory, String> {
@@ -102,11 +106,11 @@
         for (organisation, keys) in all {
             let (at, name) = (directory.organisations.len(), &organisation.name);
             if name.is_empty() || directory.organisations.iter().any(|o| o.name == *name) {
-                return Err(format!("organisation {at} has no name of its own: {name:?}"));
+                return Err(format!("organisation {at}: name {name:?} is empty or not unique"));
             }
             for key in keys {
                 if key.is_empty() || directory.by_key.insert(Digest::of(key), at).is_some() {
-                    return Err(format!("a key of organisation {name:?} is empty or stands twice"));
+                    return Err(format!("organisation {name:?}: a key is empty or not unique"));
                 }
             }
             directory.organisations.push(organisation);
@@ -114,12 +118,12 @@
         Ok(directory)
     }
 
-    /// The organisation whose key a caller sent, given the values of all
-    /// headers that may hold one.
+    /// Returns the organisation whose key a caller sent, given the values of
+    /// all headers that may contain one.
     ///
     /// # Errors
     ///
-    /// Why the caller is not known.
+    /// Returns the reason if the caller cannot be authenticated.
     pub fn caller<'a>(
         &self,
         values: impl IntoIterator<Item = &'a [u8]>,
@@ -132,7 +136,7 @@
     }
 }
 
-/// The key in a header's value.
+/// Returns the key in a header's value.
 fn key(value: &[u8]) -> Option<&str> {
     if value.len() > MAX_HEADER_BYTES {
         return None;
@@ -143,7 +147,7 @@
     (scheme.eq_ignore_ascii_case(SCHEME) && is_one).then_some(key)
 }
 
-/// A map as a list of pairs.
+/// Serialises a map as a list of pairs.
 mod pairs {
     use std::collections::HashMap;
 
--- a/crates/hollywell/src/core/pace.rs
+++ b/crates/hollywell/src/core/pace.rs
@@ -1,36 +1,38 @@
-//! How fast weights may be fetched, so that the store does not refuse.
+//! Rate limiting of weight fetches, so that the store does not refuse them.
 //!
-//! Three ways, to be measured against each other: no pace but the number of
-//! engines that change at once; a token bucket; and the generic cell rate
-//! algorithm in the form of A. Kumar, "Building a Rate Limiter or RPM based
-//! Throttler for your API/worker" (2024), which keeps a single instant, the
-//! theoretical arrival time. Unlike there, the state is one holder's own and
-//! the clock is the caller's; there is no shared store to ask.
+//! There are three policies, for comparison in measurements: no limit except
+//! the number of engines that load weights at the same time; a token bucket;
+//! and the generic cell rate algorithm, which keeps only the theoretical
+//! arrival time, as described by A. Kumar, "Building a Rate Limiter or RPM
+//! based Throttler for your API/worker" (2024). Unlike there, the state is
+//! local to one lease holder and the caller passes the time; there is no shared
+//! store.
 
 use serde::{Deserialize, Serialize};
 
 use crate::core::time::Time;
 
-/// Fetches that may come at once before the rate holds them back. With two,
-/// the holders of several failure domains that learn of a version together
-/// exceed the store's rate together (measured: 673 refusals instead of none).
+/// Number of fetches that may be admitted at the same time. With two, the
+/// holders of several failure domains exceed the store's rate when they learn
+/// of a version at the same time, which caused 673 refusals instead of none in
+/// a measurement.
 const BURST: u64 = 1;
-/// Thousandths of a token, so that refills of a few milliseconds count.
+/// One token, in thousandths, so that refills of a few milliseconds count.
 const TOKEN: u64 = 1_000;
 
-/// A pacing to hold fetches back.
+/// A policy for rate limiting.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Pacing {
-    /// Not at all.
+    /// No rate limit.
     Unpaced,
-    /// Tokens that refill at the rate.
+    /// Token bucket.
     Bucket,
-    /// The generic cell rate algorithm.
+    /// Generic cell rate algorithm.
     Gcra,
 }
 
-/// Holds one instance's fetches to a rate.
+/// A rate limiter for one instance's fetches.
 ///
 /// # Example
 ///
@@ -40,7 +42,7 @@
 /// let mut pace = Pacer::new(Pacing::Gcra, 100);
 /// assert!(pace.admit(Time(1_000)));
 /// assert!(!pace.admit(Time(1_099)));
-/// // A refused fetch does not put the next one off.
+/// // A refused fetch does not delay the next one.
 /// assert!(pace.admit(Time(1_100)));
 /// ```
 #[derive(Clone, Debug)]
@@ -53,14 +55,15 @@
 }
 
 impl Pacer {
-    /// Holds fetches to one every `interval_ms` milliseconds.
+    /// Creates a rate limiter that admits one fetch every `interval_ms`
+    /// milliseconds.
     #[must_use]
     pub const fn new(pacing: Pacing, interval_ms: u64) -> Pacer {
         let interval_ms = if interval_ms == 0 { 1 } else { interval_ms };
         Pacer { pacing, interval_ms, arrival: Time(0), tokens: BURST * TOKEN, refilled: Time(0) }
     }
 
-    /// Takes a fetch at `now` if the rate allows it.
+    /// Returns true and counts a fetch at `now` if the rate allows it.
     pub fn admit(&mut self, now: Time) -> bool {
         match self.pacing {
             Pacing::Unpaced => true,
--- a/crates/hollywell/src/core/retry.rs
+++ b/crates/hollywell/src/core/retry.rs
@@ -1,20 +1,19 @@
-//! Whether a failed attempt may be tried again, and how long to leave a
-//! failing target alone.
+//! A retry budget, and a circuit breaker for failing targets.
 //!
-//! What it leaves out: whether trying again is safe, which only the user of
-//! this module knows.
+//! Not part of this module: whether a retry is safe, which only the caller
+//! knows.
 
 use crate::core::time::Time;
 
-/// Thousandths of a retry that one success earns.
+/// What one success earns, in thousandths of a retry.
 const EARNED_PER_SUCCESS: u32 = 100;
-/// Thousandths of a retry that one retry costs.
+/// What one retry costs, in thousandths of a retry.
 const COST_OF_RETRY: u32 = 1_000;
-/// Most thousandths of a retry that are saved up.
+/// Maximum that can be saved up, in thousandths of a retry.
 const MAX_SAVED: u32 = 10_000;
 
-/// A budget of retries, earned by successes, so that retries stay a bounded
-/// share of the load when everything fails.
+/// A retry budget that is earned by successes, so that retries remain a bounded
+/// share of the load when all requests fail.
 ///
 /// # Example
 ///
@@ -23,7 +22,7 @@
 ///
 /// let mut budget = Budget::default();
 /// let granted = (0..100).filter(|_| budget.spend()).count();
-/// // Without successes only what was saved up is granted.
+/// // Without successes, only the initial savings are granted.
 /// assert_eq!(granted, 10);
 /// ```
 #[derive(Clone, Debug)]
@@ -43,7 +42,7 @@
         self.saved = (self.saved + EARNED_PER_SUCCESS).min(MAX_SAVED);
     }
 
-    /// Spends one retry if there is one.
+    /// Spends one retry if the budget allows it, and returns true if it did.
     pub fn spend(&mut self) -> bool {
         let enough = self.saved >= COST_OF_RETRY;
         if enough {
@@ -53,12 +52,12 @@
     }
 }
 
-/// First time that a failing target is left alone, in milliseconds.
+/// Back-off after the first failure of a target, in milliseconds.
 const MIN_BACKOFF_MS: u64 = 200;
-/// Longest time that a failing target is left alone, in milliseconds.
+/// Longest back-off of a failing target, in milliseconds.
 const MAX_BACKOFF_MS: u64 = 5_000;
 
-/// Leaves a target alone after failures, for longer each time.
+/// A circuit breaker with exponential back-off for one target.
 #[derive(Clone, Debug, Default)]
 pub struct Breaker {
     failures: u32,
@@ -66,14 +65,14 @@
 }
 
 impl Breaker {
-    /// True if the target may be tried.
+    /// Returns true if requests may be sent to the target.
     #[must_use]
     pub fn allows(&self, now: Time) -> bool {
         now >= self.open_until
     }
 
-    /// Notes a failure: the target is left alone for twice as long as after
-    /// the one before.
+    /// Records a failure and opens the breaker, for twice as long as after the
+    /// previous failure.
     pub fn fail(&mut self, now: Time) {
         let doublings = self.failures.min(16);
         let backoff_ms = (MIN_BACKOFF_MS << doublings).min(MAX_BACKOFF_MS);
@@ -81,7 +80,7 @@
         self.open_until = now.after(backoff_ms);
     }
 
-    /// Notes a success.
+    /// Records a success and closes the breaker.
     pub fn succeed(&mut self) {
         self.failures = 0;
         self.open_until = Time(0);
--- a/crates/hollywell/src/core/rollout.rs
+++ b/crates/hollywell/src/core/rollout.rs
@@ -1,16 +1,19 @@
-//! Which samples of the open steps run next, and which are delivered.
+//! Scheduling of the samples of open steps: which run next, and which are
+//! delivered.
 //!
-//! A trainer opens a step and says which slots (group and index) it already
-//! has; samples stream back over that answer. The trainer's word is the only
-//! cursor: after a kill it opens the step again at any instance. Within one
-//! opening a slot is delivered at most once, whatever arrives late or twice.
+//! A trainer opens a step and names the slots (group and index) that it does
+//! not have yet; samples are streamed back in the answer to that request. The
+//! trainer's list is the only cursor: after a crash it opens the step again,
+//! at any instance. Within one opening, a slot is delivered at most once, even
+//! if samples arrive late or twice.
 //!
 //! A sample is delivered only if the engine named the weight versions that
-//! produced it and the oldest of them is within the trainer's bound at that
-//! moment.
+//! produced it and, at the time of delivery, the oldest of them is within the
+//! trainer's staleness bound.
 //!
-//! What it leaves out: prompts and text, which stay with the traffic side,
-//! and which engine takes a sample (the reducer asks [`crate::core::route`]).
+//! Not part of this module: prompts and texts, which the traffic layer keeps,
+//! and the choice of an engine, for which the reducer uses
+//! [`crate::core::route`].
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -22,11 +25,11 @@
     time::Time,
 };
 
-/// How many times as long as the average a sample runs before it is run a
-/// second time.
+/// A sample is a straggler, and gets a hedged attempt, once it has run for this
+/// many times the average duration.
 const STRAGGLER_FACTOR: u64 = 2;
 
-/// One group of samples of the same prompt, as a trainer asks for it.
+/// A group of samples of the same prompt, as requested by a trainer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Group {
     /// The trainer's number for the group.
@@ -42,17 +45,17 @@
     pub trainer: String,
     /// The trainer's number for the step.
     pub step: u64,
-    /// Counts how often the trainer opened this step.
+    /// Number of times that the trainer opened this step.
     pub attempt: u32,
     /// The newest version that the trainer has published.
     pub version: u64,
-    /// What it wants.
+    /// The groups that the trainer requests.
     pub groups: Vec<Group>,
-    /// How long it waits, in milliseconds.
+    /// How long the trainer waits, in milliseconds.
     pub timeout_ms: u64,
 }
 
-/// One sample's place in a step.
+/// The slot of a sample in a step.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Slot {
     /// The group.
@@ -65,26 +68,26 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum End {
-    /// It came whole, produced by these versions in this order.
+    /// The sample is complete and was produced by these versions, in order.
     Whole(Vec<u64>),
-    /// It broke, or parts of it named no version.
+    /// The stream broke, or parts of it named no version.
     Broken,
-    /// The engine refused it or could not be reached.
+    /// The engine refused the request or could not be reached.
     Refused,
 }
 
 /// What to do with an ended sample.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// Deliver it.
+    /// Deliver the sample.
     Deliver(Slot),
-    /// Its slot was delivered before: drop it.
+    /// The slot was already delivered: drop the sample.
     Duplicate,
-    /// Older than the bound: drop it and run the slot again.
+    /// Its weights are older than the bound: drop it and run the slot again.
     Stale,
     /// It names no version: drop it and run the slot again.
     Unversioned,
-    /// Nothing to deliver: run the slot again.
+    /// There is nothing to deliver: run the slot again.
     Failed,
 }
 
@@ -108,15 +111,15 @@
     opening: Opening,
     deadline: Time,
     slots: BTreeMap<Slot, Progress>,
-    /// The slots that wait, in the order in which they run: a step of 2,048
-    /// samples must not be searched for each of them.
+    /// The waiting slots, in the order in which they run. Without this set, a
+    /// step of 2,048 samples would be searched once for each of them.
     waiting: BTreeSet<Slot>,
     missing: usize,
     running: u32,
     hedges: u32,
-    /// The engine that each group's last sample was given to.
+    /// The engine to which each group's last sample was sent.
     engines: BTreeMap<u32, String>,
-    /// Whole samples and the time that they took in all, in milliseconds.
+    /// Number of delivered samples, and their total duration in milliseconds.
     took: (u64, u64),
 }
 
@@ -146,34 +149,35 @@
         }
     }
 
-    /// What the trainer asked for.
+    /// Returns the trainer's request.
     #[must_use]
     pub fn opening(&self) -> &Opening {
         &self.opening
     }
 
-    /// When the trainer stops waiting.
+    /// Returns when the trainer stops waiting.
     #[must_use]
     pub fn deadline(&self) -> Time {
         self.deadline
     }
 
-    /// Samples in flight.
+    /// Returns the number of samples in flight.
     #[must_use]
     pub fn running(&self) -> u32 {
         self.running
     }
 
-    /// The next slot to run, in the order of the groups.
+    /// Returns the next slot to run, in the order of the groups.
     #[must_use]
     pub fn next_waiting(&self) -> Option<Slot> {
         self.waiting.first().copied()
     }
 
-    /// The slot to run a second time, if the step is near its end: of those
-    /// that run once and for much longer than a sample takes on average, the
-    /// one that runs longest. `budget_percent` bounds the second runs to a
-    /// share of the step's samples.
+    /// Returns the slot that should get a hedged attempt, if any. That is only
+    /// so near the end of a step, when no slot is waiting. Of the slots with a
+    /// single attempt that has run for much longer than the average sample, it
+    /// is the one that has run longest. `budget_percent` limits hedged attempts
+    /// to a share of the step's samples.
     #[must_use]
     pub fn straggler(&self, now: Time, budget_percent: u32) -> Option<Slot> {
         let budget = (self.slots.len() * budget_percent as usize).div_ceil(100);
@@ -194,7 +198,8 @@
         (ms >= long_ms).then_some(slot)
     }
 
-    /// Attempts at a slot that are not wanted once it is delivered.
+    /// Returns the attempts at a slot other than `winner`, which are no longer
+    /// needed once that one is delivered.
     #[must_use]
     pub fn others(&self, slot: Slot, winner: Dispatch) -> Vec<Dispatch> {
         match self.slots.get(&slot) {
@@ -206,24 +211,24 @@
         }
     }
 
-    /// The engine that a group's last sample was given to, which has its
-    /// prompt in its cache.
+    /// Returns the engine to which a group's last sample was sent, which has
+    /// the group's prompt in its cache.
     #[must_use]
     pub fn engine_of(&self, group: u32) -> Option<&str> {
         self.engines.get(&group).map(String::as_str)
     }
 
-    /// Notes which engine a sample of a group was given to.
+    /// Records the engine to which a sample of a group was sent.
     pub fn placed(&mut self, group: u32, engine: &str) {
         self.engines.insert(group, engine.to_owned());
     }
 
-    /// Notes that an attempt was cancelled.
+    /// Records that an attempt was cancelled.
     pub fn cancelled(&mut self) {
         self.running = self.running.saturating_sub(1);
     }
 
-    /// Notes that a slot runs as `dispatch` since `now`.
+    /// Records that an attempt at a slot was started as `dispatch` at `now`.
     pub fn start(&mut self, slot: Slot, dispatch: Dispatch, now: Time) {
         let Some(progress) = self.slots.get_mut(&slot) else {
             return;
@@ -241,7 +246,7 @@
         self.running += 1;
     }
 
-    /// Judges a sample that ended at `now`, given the oldest version that is
+    /// Judges a sample that ended at `now`, given the `oldest` version that is
     /// acceptable then.
     pub fn end(
         &mut self,
@@ -277,7 +282,7 @@
         verdict
     }
 
-    /// Slots that were not delivered.
+    /// Returns the number of slots that were not delivered yet.
     #[must_use]
     pub const fn missing(&self) -> usize {
         self.missing
@@ -295,7 +300,8 @@
     }
 }
 
-/// The steps open at one instance, and the newest version of each trainer.
+/// The steps that are open at one instance, and the newest known version of
+/// each trainer.
 #[derive(Clone, Debug, Default)]
 pub struct Steps {
     /// Open steps by the request that opened them.
@@ -304,33 +310,34 @@
 }
 
 impl Steps {
-    /// Notes that a trainer has a version. Older ones change nothing.
+    /// Records that a version of a trainer exists. Older versions have no
+    /// effect.
     pub fn note_version(&mut self, trainer: &str, version: u64) {
         let newest = self.newest.entry(trainer.to_owned()).or_default();
         *newest = version.max(*newest);
     }
 
-    /// The newest version known of a trainer.
+    /// Returns the newest known version of a trainer.
     #[must_use]
     pub fn newest(&self, trainer: &str) -> u64 {
         self.newest.get(trainer).copied().unwrap_or_default()
     }
 
-    /// The oldest version that may be delivered under a row.
+    /// Returns the oldest version that may be delivered under a row.
     #[must_use]
     pub fn oldest(&self, row: &table::Row) -> u64 {
         self.newest(&row.trainer).saturating_sub(row.staleness)
     }
 
-    /// Samples of a trainer in flight here.
+    /// Returns the number of a trainer's samples in flight at this instance.
     #[must_use]
     pub fn running(&self, trainer: &str) -> u32 {
         let of_trainer = |step: &&Step| step.opening.trainer == trainer;
         self.open.values().filter(of_trainer).map(Step::running).sum()
     }
 
-    /// Open steps with a slot to run, the one to serve first at the front:
-    /// by priority, then by samples in flight relative to the weight.
+    /// Returns the open steps with a waiting slot in the order in which to
+    /// serve them: by priority, then by samples in flight relative to weight.
     #[must_use]
     pub fn in_order(&self, table: &table::Table) -> Vec<Request> {
         let mut order: Vec<(u8, u64, Request)> = vec![];
--- a/crates/hollywell/src/core/route.rs
+++ b/crates/hollywell/src/core/route.rs
@@ -1,10 +1,11 @@
-//! Which target takes a request.
+//! Load balancing: which target gets a request.
 //!
-//! Load reports lag, and several instances choose from the same report, so
-//! the least loaded target of the report must not be everybody's choice: two
-//! candidates are drawn and the less loaded one is taken (Mitzenmacher, "The
-//! power of two choices in randomized load balancing", 2001), with the
-//! instance's own requests in flight counted on top of the report.
+//! Load reports lag, and several instances choose by the same reports. If all
+//! of them chose the least loaded target, they would overload it together.
+//! Therefore two candidates are drawn at random and the less loaded one is
+//! chosen (Mitzenmacher, "The power of two choices in randomized load
+//! balancing", 2001); the instance's own requests in flight are added to the
+//! reported load.
 
 use rand::{Rng, rngs::SmallRng};
 use serde::{Deserialize, Serialize};
@@ -15,8 +16,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Choice {
-    /// One after the other, whatever their load: the baseline that
-    /// measurements compare with.
+    /// Round robin, regardless of load: the baseline of measurements.
     RoundRobin,
     /// The less loaded of two drawn at random.
     TwoChoices,
@@ -28,22 +28,22 @@
 pub struct Policy {
     /// How an engine is chosen.
     pub choice: Choice,
-    /// Samples in flight at one engine from one instance, whatever the
-    /// engine's slots and the reserve; `None` to go by those.
+    /// Fixed limit of one instance's samples in flight at an engine. If `None`,
+    /// the limit follows from the engine's slots and the reserve.
     pub fixed_samples: Option<u32>,
-    /// Share of a step's samples that may be run a second time when they
-    /// straggle at its end, in percent.
+    /// Maximum share of a step's samples that may get a hedged attempt as
+    /// stragglers, in percent.
     pub hedge_percent: u32,
-    /// True if samples of one group go to one engine as long as it is hardly
-    /// more loaded than the others.
+    /// True if samples of a group go to the same engine unless it is much more
+    /// loaded than the others.
     pub affinity: bool,
-    /// How weight fetches are held to the store's rate.
+    /// How weight fetches are limited to the store's rate.
     pub pace: Pacing,
 }
 
 impl Policy {
-    /// The baseline that measurements compare with: round robin, a fixed
-    /// number of samples at each engine, nothing run twice.
+    /// Returns the baseline of measurements: round robin, a fixed number of
+    /// samples at each engine, no hedging.
     #[must_use]
     pub const fn baseline() -> Policy {
         Policy {
@@ -89,12 +89,12 @@
     pub name: &'a str,
     /// Its load; comparable among candidates of one choice.
     pub load: f64,
-    /// True if it is in the chooser's own failure domain.
+    /// True if it is in the local failure domain.
     pub is_local: bool,
 }
 
-/// Chooses a target: of the chooser's failure domain if there is any, and
-/// the less loaded of two drawn at random.
+/// Chooses the less loaded of two candidates that are drawn at random. If there
+/// are candidates in the local failure domain, only those are considered.
 ///
 /// # Example
 ///
@@ -102,11 +102,11 @@
 /// use hollywell::core::route::{Candidate, choose};
 /// use rand::{SeedableRng, rngs::SmallRng};
 ///
-/// let near = Candidate { name: "near", load: 0.9, is_local: true };
-/// let far = Candidate { name: "far", load: 0.1, is_local: false };
+/// let local = Candidate { name: "local", load: 0.9, is_local: true };
+/// let remote = Candidate { name: "remote", load: 0.1, is_local: false };
 /// let mut rng = SmallRng::seed_from_u64(1);
-/// // A loaded target nearby goes before an idle one in another domain.
-/// assert_eq!(choose(&[far, near], &mut rng), Some("near"));
+/// // A loaded local target is preferred to an idle remote one.
+/// assert_eq!(choose(&[remote, local], &mut rng), Some("local"));
 /// ```
 #[must_use]
 pub fn choose<'a>(candidates: &[Candidate<'a>], rng: &mut SmallRng) -> Option<&'a str> {
@@ -125,12 +125,12 @@
     }
 }
 
-/// How much more loaded than the candidates' average a preferred one may be.
+/// Maximum load of a preferred candidate, relative to the candidates' average.
 const LOAD_BOUND: f64 = 2.0;
 
-/// The preferred candidate, if there is such a one and its load is within a
-/// bound of the average (Mirrokni, Thorup and Zadimoghaddam, "Consistent
-/// Hashing with Bounded Loads", 2018).
+/// Returns the preferred candidate if it exists and its load is within a bound
+/// of the average (Mirrokni, Thorup and Zadimoghaddam, "Consistent Hashing with
+/// Bounded Loads", 2018).
 ///
 /// # Example
 ///
@@ -140,7 +140,7 @@
 /// let loaded = |name, load| Candidate { name, load, is_local: true };
 /// let engines = [loaded("a", 0.5), loaded("b", 0.5), loaded("c", 5.0)];
 /// assert_eq!(within_bound(&engines, "a"), Some("a"));
-/// // Its cache is not worth waiting for.
+/// // The cached prompt is not worth the wait.
 /// assert_eq!(within_bound(&engines, "c"), None);
 /// ```
 #[must_use]
--- a/crates/hollywell/src/core/store_lease.rs
+++ b/crates/hollywell/src/core/store_lease.rs
@@ -1,148 +1,154 @@
-//! A lease kept by compare-and-append on a partition of its own.
+//! A lease held by compare-and-append on a dedicated partition of the store.
 //!
-//! Every grant and renewal names the partition's end, so that of two claims
-//! one is refused. The offset of the grant is the fencing number: unique and
-//! rising for as long as the partition lives, whatever of it has expired. The
-//! holder counts its time from before it sent the claim; a challenger from
-//! after it read the last one, and adds a guard.
+//! Each claim, to acquire or renew the lease, names the expected end of the
+//! partition, so that of two concurrent claims one is rejected. The offset of
+//! the grant is the fencing token: it is unique and increases for as long as
+//! the partition exists, even if earlier records have expired. The holder
+//! counts the lease from before it sent the claim. A challenger counts from
+//! after it read the last claim, and adds a guard time.
 //!
-//! Engines also want orders of two holders to be some time apart
-//! (`apart_ms`). So each claim says whether its holder may be giving orders
-//! and how long ago it last did; a holder that has said that it gives none
-//! says otherwise before it gives one. A successor then waits only for as
-//! long as the last order requires, and not at all after a quiet holder.
-//! Waiting out the full time after each change was the first version; with
-//! instances restarted every two seconds engines got hardly any orders.
+//! Engines also require a minimum time between orders of two holders
+//! (`apart_ms`). Each claim therefore reports whether its holder may be giving
+//! orders, and how long ago it last gave one. A holder that has reported that
+//! it gives no orders must announce them before it gives the next. A successor
+//! then waits only as long as the last order requires, and not at all after a
+//! holder that gave none. The first version always waited for the full time
+//! after a change of holder; when instances restarted every two seconds,
+//! engines got hardly any orders.
 //!
-//! An instance that restarts goes on with its own lease at once: its earlier
-//! run has ended, and engines take both for one holder. It keeps apart only
-//! from what other instances ordered, so each claim also says how
-//! long ago that was. After all processes were killed and down for 0.5 s, the
-//! first order came 0.2 s after their restart instead of 4.9 s (log of one
-//! played day).
+//! An instance that restarts takes over its own lease at once: its earlier run
+//! has ended, and engines regard both runs as one holder. It has to keep the
+//! minimum time only from the orders of other instances, so each claim also
+//! reports how long ago the last of those was. When all processes were killed
+//! and restarted after 0.5 s, the first order was sent 0.2 s after the restart
+//! instead of 4.9 s.
 //!
-//! [`crate::core::lease`] folds claims on the shared stream instead; this one
-//! needs no history, which a platform that keeps records for seconds demands.
+//! [`crate::core::lease`] folds claims from the shared stream instead. This
+//! lease needs no history, as is required on a platform that retains records
+//! for seconds only.
 
 use serde::{Deserialize, Serialize};
 
 use crate::core::{roster::instance, time::Time};
 
-/// Drift of clocks and delay of timers that a challenger allows for, in
-/// milliseconds.
+/// A challenger's allowance for clock drift and timer delays, in milliseconds.
 const GUARD_MS: u64 = 200;
-/// Time between the first claims of two instances, in milliseconds, so that
-/// they do not all race.
+/// Delay between the first claims of two instances, in milliseconds, so that
+/// not all of them compete at the same time.
 const RANK_MS: u64 = 40;
-/// Quiet time after which a holder says that it gives no orders, in
-/// milliseconds: longer than the pause between two orders of one pass.
-const QUIET_MS: u64 = 1_500;
+/// Time without an order after which a holder reports that it gives none, in
+/// milliseconds. It is longer than the interval between two orders of one
+/// pass.
+const IDLE_MS: u64 = 1_500;
 
-/// A claim's record.
+/// A claim to the lease, as a record of the store.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claim {
-    /// Who claims.
+    /// Instance that claims the lease.
     pub holder: String,
-    /// Offset of the grant that this renews; `None` in a grant itself.
+    /// Offset of the grant that this claim renews; `None` in a grant itself.
     pub renews: Option<u64>,
-    /// Whether orders may follow this claim.
+    /// Whether the holder may give orders after this claim.
     pub orders: bool,
-    /// Time since the last order to these engines that the claimant knows
-    /// of, its own or an earlier holder's, in milliseconds; `None` if there
-    /// was none.
+    /// Time since the last order to these engines that the claimant knows of,
+    /// by itself or an earlier holder, in milliseconds; `None` if it knows of
+    /// none.
     pub quiet_ms: Option<u64>,
-    /// Time since the last order of another instance, in milliseconds; `None`
-    /// if there was none.
+    /// Time since the last order by another instance, in milliseconds; `None`
+    /// if the claimant knows of none.
     #[serde(default)]
     pub others_ms: Option<u64>,
-    /// Whether the holder gives the lease up.
+    /// Whether the holder releases the lease.
     pub released: bool,
 }
 
-/// How long things last.
+/// Durations that govern a lease.
 #[derive(Clone, Copy, Debug)]
 pub struct Timing {
-    /// How long a claim holds, in milliseconds.
+    /// How long a claim is valid, in milliseconds.
     pub term_ms: u64,
-    /// Time that must pass between orders of two holders, in milliseconds.
+    /// Minimum time between orders of two holders, in milliseconds.
     pub apart_ms: u64,
 }
 
 /// One instance's view of a lease.
 #[derive(Clone, Debug, Default)]
 pub struct StoreLease {
-    /// The partition's end, as last read; where to read on.
+    /// End of the partition as last read, where the next read starts.
     pub end: u64,
+    /// Whether the partition was read to its end.
     known: bool,
     last: Option<(Claim, Time)>,
     fence: Option<u64>,
     held_until: Time,
     orders_from: Time,
-    /// When the last order was given, as far as is known here.
+    /// Time of the last order that is known here.
     ordered_at: Option<Time>,
-    /// When another instance's last order was given, as far as is known here.
+    /// Time of the last order by another instance that is known here.
     others_at: Option<Time>,
     announced: bool,
 }
 
 impl StoreLease {
-    /// Notes a claim read from the partition.
-    pub fn read(&mut self, me: &str, now: Time, offset: u64, claim: &Claim) {
+    /// Records a claim that was read from the partition.
+    pub fn read(&mut self, local: &str, now: Time, offset: u64, claim: &Claim) {
         self.end = self.end.max(offset + 1);
-        let mine = claim.holder == me && claim.renews.is_some() && claim.renews == self.fence;
-        if !mine {
+        let is_renewal =
+            claim.holder == local && claim.renews.is_some() && claim.renews == self.fence;
+        if !is_renewal {
             self.fence = None;
             self.held_until = Time(0);
         }
         self.last = Some((claim.clone(), now));
     }
 
-    /// Notes that the partition was read to its end.
+    /// Records that the partition was read to its end.
     pub fn read_to(&mut self, end: u64) {
         self.end = self.end.max(end);
         self.known = true;
     }
 
-    /// Whether this instance holds the lease, as far as it knows.
+    /// Returns true if this instance holds the lease, as far as it knows.
     #[must_use]
     pub fn is_held(&self) -> bool {
         self.fence.is_some()
     }
 
-    /// Whether the last claim is that of an earlier run of this instance.
-    fn is_own(&self, me: &str) -> bool {
-        self.last
-            .as_ref()
-            .is_some_and(|(last, _)| last.holder != me && instance(&last.holder) == instance(me))
+    /// Returns true if the last claim is that of an earlier run of this
+    /// instance.
+    fn is_earlier_run(&self, local: &str) -> bool {
+        self.last.as_ref().is_some_and(|(last, _)| {
+            last.holder != local && instance(&last.holder) == instance(local)
+        })
     }
 
-    /// When the last order may have been given by another instance.
-    fn others_order(&self, me: &str, terms: Timing) -> Option<Time> {
-        if !self.is_own(me) {
-            return self.last_order(terms);
+    /// When another instance may have given its last order.
+    fn others_order(&self, local: &str, timing: Timing) -> Option<Time> {
+        if !self.is_earlier_run(local) {
+            return self.last_order(timing);
         }
         let (claim, read_at) = self.last.as_ref()?;
         Some(Time(read_at.0.saturating_sub(claim.others_ms?)))
     }
 
-    /// When the last order may have been given by another holder.
-    fn last_order(&self, terms: Timing) -> Option<Time> {
+    /// When an earlier holder may have given its last order.
+    fn last_order(&self, timing: Timing) -> Option<Time> {
         let (claim, read_at) = self.last.as_ref()?;
         if claim.orders && !claim.released {
-            return Some(read_at.after(terms.term_ms));
+            return Some(read_at.after(timing.term_ms));
         }
         let quiet_ms = claim.quiet_ms?;
         Some(Time(read_at.0.saturating_sub(quiet_ms)))
     }
 
-    /// The claim to append now, if any. `rank` staggers challenges; `orders`
-    /// says whether there are orders to give.
+    /// Returns the claim to append now, if any. `rank` staggers the challenges
+    /// of different instances; `orders` tells whether there are orders to give.
     #[must_use]
     pub fn claim(
         &self,
-        me: &str,
+        local: &str,
         now: Time,
-        terms: Timing,
+        timing: Timing,
         rank: u64,
         orders: bool,
     ) -> Option<Claim> {
@@ -151,71 +157,73 @@
         }
         let last_order = match self.fence {
             Some(_) => self.ordered_at,
-            None => self.last_order(terms),
+            None => self.last_order(timing),
         };
         let quiet_ms = last_order.map(|at| now.since(at));
         let renews = self.fence;
-        let busy = orders || quiet_ms.is_some_and(|quiet_ms| quiet_ms < QUIET_MS);
-        let orders = renews.is_some() && busy;
+        let is_ordering = orders || quiet_ms.is_some_and(|quiet_ms| quiet_ms < IDLE_MS);
+        let orders = renews.is_some() && is_ordering;
         let others_at = match self.fence {
             Some(_) => self.others_at,
-            None => self.others_order(me, terms),
+            None => self.others_order(local, timing),
         };
         let others_ms = others_at.map(|at| now.since(at));
-        let holder = me.to_owned();
+        let holder = local.to_owned();
         let claim = Claim { holder, renews, orders, quiet_ms, others_ms, released: false };
         let due = match &self.last {
-            _ if renews.is_some() || self.is_own(me) => now,
+            _ if renews.is_some() || self.is_earlier_run(local) => now,
             Some((last, at)) if last.released => at.after(rank * RANK_MS),
-            Some((_, at)) => at.after(terms.term_ms + GUARD_MS + rank * RANK_MS),
+            Some((_, at)) => at.after(timing.term_ms + GUARD_MS + rank * RANK_MS),
             None => Time(rank * RANK_MS),
         };
         (now >= due).then_some(claim)
     }
 
-    /// The claim that gives the lease up, if it is held.
+    /// Returns the claim that releases the lease, if it is held.
     #[must_use]
-    pub fn release(&self, me: &str, now: Time) -> Option<Claim> {
+    pub fn release(&self, local: &str, now: Time) -> Option<Claim> {
         let renews = Some(self.fence?);
         let quiet_ms = self.ordered_at.map(|at| now.since(at));
         let others_ms = self.others_at.map(|at| now.since(at));
-        let holder = me.to_owned();
+        let holder = local.to_owned();
         Some(Claim { holder, renews, orders: false, quiet_ms, others_ms, released: true })
     }
 
-    /// Notes that a claim was accepted at `offset`, sent at `sent`.
-    pub fn granted(&mut self, sent: Time, offset: u64, claim: &Claim, terms: Timing) {
+    /// Records that a claim that was sent at `sent` was accepted at `offset`.
+    pub fn granted(&mut self, sent: Time, offset: u64, claim: &Claim, timing: Timing) {
         self.end = self.end.max(offset + 1);
         if claim.renews.is_none() {
-            self.others_at = self.others_order(&claim.holder, terms);
-            self.orders_from = self.others_at.map_or(sent, |at| at.after(terms.apart_ms));
-            // The run before may have given orders to its end.
-            self.ordered_at = match self.is_own(&claim.holder) {
+            self.others_at = self.others_order(&claim.holder, timing);
+            self.orders_from = self.others_at.map_or(sent, |at| at.after(timing.apart_ms));
+            // The earlier run may have given orders until it ended.
+            self.ordered_at = match self.is_earlier_run(&claim.holder) {
                 true => Some(sent),
                 false => self.others_at,
             };
             self.fence = Some(offset);
         }
         self.announced = claim.orders;
-        self.held_until = if claim.released { Time(0) } else { sent.after(terms.term_ms) };
+        self.held_until = if claim.released { Time(0) } else { sent.after(timing.term_ms) };
         if claim.released {
             self.fence = None;
         }
         self.last = Some((claim.clone(), sent));
     }
 
-    /// Notes that an order is given.
+    /// Records that an order is given.
     pub fn ordered(&mut self, now: Time) {
         self.ordered_at = Some(now);
     }
 
-    /// Whether a claim that announces orders must come before the first.
+    /// Returns true if a claim that announces orders must be accepted before
+    /// the next order may be given.
     #[must_use]
     pub fn must_announce(&self) -> bool {
         self.fence.is_some() && !self.announced
     }
 
-    /// The fencing number, if orders may be given for `margin_ms` from now.
+    /// Returns the fencing token if orders may be given for at least
+    /// `margin_ms` from now.
     #[must_use]
     pub fn fence(&self, now: Time, margin_ms: u64) -> Option<u64> {
         let in_term = now >= self.orders_from && now.after(margin_ms) < self.held_until;
--- a/crates/hollywell/src/core/stream.rs
+++ b/crates/hollywell/src/core/stream.rs
@@ -1,15 +1,16 @@
-//! The state that all instances agree on, folded from one stream of the
+//! The agreed state: a replicated state machine, folded from one stream of the
 //! platform's log.
 //!
-//! Records are folded in offset order, so every instance that has folded up
-//! to an offset has the same state. The log keeps records for a limited time
-//! only; members write a [`Snapshot`] well before that. A reader that finds a
-//! gap keeps what it reads aside until a snapshot closes the gap: one taken
-//! at offset N is used only if every record from N on is at hand. A snapshot
-//! written late by an instance that was paused therefore changes nothing.
+//! Records are folded in offset order, so all instances that have folded up to
+//! the same offset have the same state. The log retains records for a limited
+//! time only; members append a [`Snapshot`] well before records expire. A
+//! reader that finds a gap buffers what it reads until a snapshot closes the
+//! gap. A snapshot taken at offset N is used only if every record from N on is
+//! available, so a snapshot that a paused instance appends late has no effect.
 //! A peer's state closes a gap in the same way.
 //!
-//! What it leaves out: who writes snapshots and when (the reducer does).
+//! Not part of this module: which instance appends snapshots, and when (the
+//! reducer decides that).
 
 use std::collections::BTreeMap;
 
@@ -25,7 +26,8 @@
     Edit(table::Edit),
     /// A new ownership map for a failure domain.
     Proposal(owner::Proposal),
-    /// A grant or renewal of a failure domain's lease on target orders.
+    /// A claim to a failure domain's lease on orders to targets, to acquire or
+    /// renew it.
     Claim(lease::Claim),
     /// The state before an offset.
     Snapshot(Box<Snapshot>),
@@ -34,13 +36,13 @@
 /// The agreed state after all records before an offset.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// Offset of the first record that is not part of it.
+    /// Offset of the first record that is not folded into the state.
     pub next: u64,
     /// The operators' table.
     pub table: table::Table,
-    /// The ownership maps by failure domain.
+    /// Ownership maps by failure domain.
     pub maps: owner::Maps,
-    /// The leases on target orders by failure domain.
+    /// Leases on orders to targets by failure domain.
     pub leases: lease::Leases,
 }
 
@@ -51,7 +53,7 @@
     Edit {
         /// The edit's id.
         id: String,
-        /// What became of it.
+        /// The edit's outcome.
         outcome: table::Outcome,
     },
     /// A failure domain has a new ownership map.
@@ -63,40 +65,40 @@
         /// Offset of the record.
         offset: u64,
     },
-    /// The whole state was replaced by a later one.
+    /// The state was replaced by a later one.
     Loaded,
 }
 
-/// A reader's position in the stream and the state there.
+/// A reader's position in the stream, and the state at that position.
 #[derive(Clone, Debug, Default)]
 pub struct Fold {
     state: Snapshot,
-    aside: BTreeMap<u64, Record>,
+    buffered: BTreeMap<u64, Record>,
     gap_to: Option<u64>,
     snapshot_at: u64,
 }
 
 impl Fold {
-    /// The agreed state as far as it is known here.
+    /// Returns the agreed state, as far as it was folded.
     #[must_use]
     pub fn state(&self) -> &Snapshot {
         &self.state
     }
 
-    /// True while a gap is open, when the state must not be taken as current.
+    /// Returns true while there is a gap. The state is then not current.
     #[must_use]
     pub fn has_gap(&self) -> bool {
         self.gap_to.is_some()
     }
 
-    /// Notes that the log keeps no record before `first`.
+    /// Records that the log retains no record before `first`.
     pub fn retained_from(&mut self, first: u64) {
         if first > self.state.next && self.gap_to.is_none() {
             self.gap_to = Some(first);
         }
     }
 
-    /// Records folded since the last snapshot that was seen.
+    /// Returns the number of records folded since the last snapshot.
     #[must_use]
     pub fn since_snapshot(&self) -> u64 {
         self.state.next.saturating_sub(self.snapshot_at)
@@ -104,8 +106,8 @@
 
     /// Folds a record read at `offset` and returns what changed.
     ///
-    /// Records that were folded before are skipped. Across a gap, records
-    /// are kept aside until a snapshot or a peer's state closes it.
+    /// Records that were already folded are skipped. Records after a gap are
+    /// buffered until a snapshot or a peer's state closes the gap.
     pub fn read(&mut self, offset: u64, record: &Record) -> Vec<Change> {
         if offset < self.state.next {
             return vec![];
@@ -114,17 +116,17 @@
             return self.apply(offset, record).into_iter().collect();
         }
         self.gap_to.get_or_insert(offset);
-        self.aside.insert(offset, record.clone());
+        self.buffered.insert(offset, record.clone());
         match record {
             Record::Snapshot(snapshot) => self.load(snapshot),
             _ => vec![],
         }
     }
 
-    /// Takes a later state, from a snapshot or from a peer, if no record
-    /// between it and what is at hand is missing.
+    /// Adopts a later state, from a snapshot or from a peer, if no record
+    /// between it and the buffered records is missing.
     ///
-    /// An earlier state than the one here is ignored, whoever sends it.
+    /// A state that is earlier than the current one is ignored.
     pub fn load(&mut self, snapshot: &Snapshot) -> Vec<Change> {
         let later = snapshot.next > self.state.next;
         let joins = self.gap_to.is_none_or(|first| snapshot.next >= first);
@@ -134,9 +136,9 @@
         self.state = snapshot.clone();
         self.gap_to = None;
         self.snapshot_at = snapshot.next;
-        let aside = std::mem::take(&mut self.aside);
+        let buffered = std::mem::take(&mut self.buffered);
         let mut changes = vec![Change::Loaded];
-        for (offset, record) in aside {
+        for (offset, record) in buffered {
             changes.extend(self.read(offset, &record));
         }
         changes
--- a/crates/hollywell/src/core/table.rs
+++ b/crates/hollywell/src/core/table.rs
@@ -1,67 +1,70 @@
-//! The operators' table: one row a trainer, edited by compare-and-set.
+//! The operators' table: one row per trainer, edited by compare-and-set.
 //!
-//! An edit names the revision of the row that it was based on. The fold takes
-//! the first edit on a revision and rejects the others, so that operators who
-//! race each other see a conflict and never a silent overwrite. The revision
-//! of a row is the log offset of the edit that made it.
+//! An edit names the revision of the row that it is based on. The fold accepts
+//! the first edit of a revision and rejects the others, so that concurrent
+//! edits cause a conflict and never a silent overwrite. The revision of a row
+//! is the log offset of the edit that created it.
 //!
-//! What it leaves out: reading and appending ([`crate::platform`]) and
-//! recovery after the log's retention ([`crate::core::stream`]).
+//! Not part of this module: reading and appending ([`crate::platform`]), and
+//! recovery of records that are past the log's retention
+//! ([`crate::core::stream`]).
 
 use std::collections::{BTreeMap, VecDeque};
 
 use serde::{Deserialize, Serialize};
 
-/// How many edits' outcomes are remembered for questions by edit id.
+/// Number of edits whose outcomes are remembered for queries by edit id.
 const OUTCOME_LIMIT: usize = 512;
 
-/// How many changes `table history` can show.
+/// Number of changes that `table history` can show.
 const HISTORY_LIMIT: usize = 256;
 
-/// What operators set for one trainer.
+/// The settings of one trainer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Row {
     /// The trainer's name.
     pub trainer: String,
     /// Share of the engines' slots, relative to the other rows.
     pub weight: u32,
-    /// How many versions older than the newest a delivered sample may be.
+    /// Maximum number of versions by which a delivered sample may be older than
+    /// the newest one.
     pub staleness: u64,
-    /// Lower goes first, between trainers and in the engines' queues.
+    /// Priority among trainers and in the engines' queues; lower goes first.
     pub priority: u8,
-    /// Samples that may be in flight at once at one instance.
+    /// Maximum number of samples in flight at one instance.
     pub in_flight: u32,
 }
 
-/// One change to one row, as a record on the log.
+/// A change to a row, as a record on the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Edit {
-    /// Unique id, made by whoever asks for the change.
+    /// Unique id, chosen by the client that requests the change.
     pub id: String,
-    /// Who asks for it.
+    /// Author of the change.
     pub by: String,
-    /// The row that it changes.
+    /// Trainer whose row is changed.
     pub trainer: String,
-    /// Revision of the row that it was based on; `None` if there was none.
+    /// Revision of the row that the edit is based on; `None` if there was no
+    /// row.
     pub base: Option<u64>,
     /// The new row, or `None` to remove it.
     pub row: Option<Row>,
 }
 
-/// What became of an edit.
+/// The outcome of an edit.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Outcome {
-    /// In the table, at this revision.
+    /// The edit is in the table.
     Accepted {
         /// The row's new revision.
         revision: u64,
     },
     /// Another edit of the same row came first.
     Conflict {
-        /// Who made the edit that came first.
+        /// Author of the edit that came first.
         by: String,
-        /// The row's revision, `None` if the row is gone.
+        /// The row's revision; `None` if the row was removed.
         revision: Option<u64>,
     },
 }
@@ -69,9 +72,9 @@
 /// A row with its revision and author.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    /// Offset of the edit that made it.
+    /// Offset of the edit that created the revision.
     pub revision: u64,
-    /// Who made that edit.
+    /// Author of that edit.
     pub by: String,
     /// The row, or `None` if the edit removed it.
     pub row: Option<Row>,
@@ -93,10 +96,10 @@
 /// };
 /// let mut table = Table::default();
 /// assert_eq!(table.apply(4, &edit("a", "salma")), Outcome::Accepted { revision: 4 });
-/// // Both operators started from "no such row"; the second is told who won.
+/// // Both edits are based on "no such row"; the second gets the first's author.
 /// let conflict = Outcome::Conflict { by: "salma".into(), revision: Some(4) };
 /// assert_eq!(table.apply(5, &edit("b", "omar")), conflict);
-/// // The first edit again, from an append whose answer was lost: no effect.
+/// // The first edit, appended again after a lost answer, has no effect.
 /// assert_eq!(table.apply(6, &edit("a", "salma")), Outcome::Accepted { revision: 4 });
 /// ```
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -107,10 +110,10 @@
 }
 
 impl Table {
-    /// Folds the edit at `offset` and says what became of it.
+    /// Folds the edit at `offset` and returns its outcome.
     ///
-    /// An edit id that was folded before has no second effect and gets its
-    /// first outcome again.
+    /// An edit whose id was already folded has no effect and gets the outcome
+    /// of the first one.
     pub fn apply(&mut self, offset: u64, edit: &Edit) -> Outcome {
         if let Some(outcome) = self.outcome(&edit.id) {
             return outcome.clone();
@@ -140,33 +143,34 @@
         }
     }
 
-    /// The revision that an edit of the row has to name; `None` if there is
-    /// no such row.
+    /// Returns the revision that an edit of the row has to name; `None` if
+    /// there is no such row.
     #[must_use]
     pub fn base_of(&self, trainer: &str) -> Option<u64> {
         let entry = self.entries.get(trainer)?;
         entry.row.as_ref().map(|_| entry.revision)
     }
 
-    /// What became of an edit, if it was folded and is still remembered.
+    /// Returns the outcome of an edit, if it was folded and is still
+    /// remembered.
     #[must_use]
     pub fn outcome(&self, id: &str) -> Option<&Outcome> {
         let same_id = |(known, _): &&(String, Outcome)| known == id;
         self.outcomes.iter().find(same_id).map(|(_, outcome)| outcome)
     }
 
-    /// Edit ids that are remembered, with what became of them.
+    /// Returns the remembered edit ids with their outcomes.
     pub fn outcomes(&self) -> impl Iterator<Item = &(String, Outcome)> {
         self.outcomes.iter()
     }
 
-    /// The row of a trainer.
+    /// Returns the row of a trainer.
     #[must_use]
     pub fn row(&self, trainer: &str) -> Option<&Row> {
         self.entries.get(trainer)?.row.as_ref()
     }
 
-    /// The rows with their revisions, by trainer.
+    /// Returns the rows with their revisions, sorted by trainer.
     pub fn rows(&self) -> impl Iterator<Item = (u64, &Row)> {
         let with_row = |entry: &'_ Entry| entry.revision;
         self.entries
@@ -174,7 +178,7 @@
             .filter_map(move |entry| entry.row.as_ref().map(|row| (with_row(entry), row)))
     }
 
-    /// The accepted edits that are remembered, oldest first.
+    /// Returns the remembered accepted edits, oldest first.
     pub fn history(&self) -> impl Iterator<Item = &(u64, Edit)> {
         self.history.iter()
     }
--- a/crates/hollywell/src/core/time.rs
+++ b/crates/hollywell/src/core/time.rs
@@ -1,14 +1,15 @@
-//! The reducer's notion of time: milliseconds on one process's monotonic
-//! clock, which counts the time in which its machine was suspended. It leaves
-//! out wall-clock time, on which only what outlives a process depends
-//! ([`crate::core::poison`], and how long jobs are kept).
+//! The reducer's time: milliseconds on a process's monotonic clock, which also
+//! advances while the machine is suspended.
+//!
+//! Not part of this module: the time of day. Only state that outlives a process
+//! depends on it ([`crate::core::poison`], and the retention of jobs).
 
 use serde::{Deserialize, Serialize};
 
-/// An instant on one process's monotonic clock, in milliseconds.
+/// A time on one process's monotonic clock, in milliseconds.
 ///
-/// Instants of different processes must not be compared; where an instance
-/// needs another's clock it is told a reading of it (see [`crate::core::owner`]).
+/// Times of different processes must not be compared. An instance that needs
+/// another's clock receives readings of it ([`crate::core::member::Reading`]).
 ///
 /// # Example
 ///
@@ -17,7 +18,7 @@
 ///
 /// let start = Time(1_000);
 /// assert_eq!(start.after(250), Time(1_250));
-/// // An earlier instant is zero milliseconds past a later one, not negative.
+/// // The time since a later instant is zero, not negative.
 /// assert_eq!(start.since(Time(2_000)), 0);
 /// ```
 #[derive(
@@ -27,13 +28,14 @@
 pub struct Time(pub u64);
 
 impl Time {
-    /// The instant `ms` milliseconds later, saturating at the end of time.
+    /// Returns the time `ms` milliseconds later, saturating at the maximum.
     #[must_use]
     pub const fn after(self, ms: u64) -> Time {
         Time(self.0.saturating_add(ms))
     }
 
-    /// Milliseconds from `earlier` to this instant, zero if it is not earlier.
+    /// Returns the milliseconds from `earlier` to this time; zero if `earlier`
+    /// is not earlier.
     #[must_use]
     pub const fn since(self, earlier: Time) -> u64 {
         self.0.saturating_sub(earlier.0)
--- a/crates/hollywell/src/core/timeout.rs
+++ b/crates/hollywell/src/core/timeout.rs
@@ -1,43 +1,46 @@
-//! How long an answer of the store may be silent, and how long to pause
-//! after a call that failed.
+//! Adaptive timeouts for calls to the store, and back-off after failed calls.
 //!
 //! All instances share the store's bandwidth. After an outage they all read
-//! everything again, and answers take as long as the bytes that everybody
-//! asked for. A fixed limit then does the worst: an answer that is given up
-//! was sent for nothing, and is asked for again at once, so what is thrown
-//! away is the load. So the limit follows what answers take, as a sender's
-//! retransmission timeout does (RFC 6298), grows with each silence, and
-//! pauses grow with the number of instances that pause.
+//! everything again, and each answer takes as long as all the requested bytes
+//! take together. A fixed timeout is harmful then: the bytes of an answer that
+//! timed out are wasted, and the retry requests them again, so that abandoned
+//! answers make up most of the load. The timeout therefore adapts to the
+//! observed response times, like TCP's retransmission timeout (RFC 6298), and
+//! doubles with each timeout in a row. The back-off grows with the number of
+//! instances.
 //!
-//! What it leaves out: the calls ([`crate::entry::reader`]).
+//! Not part of this module: the calls themselves ([`crate::entry::reader`]).
 
-/// Least silence that is borne, in milliseconds. A store that is well
-/// answers in some milliseconds, on a slow day in some hundreds; a
-/// connection that died in silence is found after so long.
+/// Shortest timeout, in milliseconds. A healthy store answers within a few
+/// milliseconds, a slow one within a few hundred. This is also how long it
+/// takes to detect a connection that was lost without notice.
 const MIN_TIMEOUT_MS: f64 = 800.0;
-/// Longest silence that is borne, in milliseconds: what nobody answered by
-/// then, a caller will not wait for either.
+/// Longest timeout, in milliseconds. Callers do not wait any longer for an
+/// answer either.
 const MAX_TIMEOUT_MS: f64 = 6_000.0;
-/// Weights of the newest answer in the mean time and in its spread, and how
-/// many spreads above the mean an answer may take (RFC 6298, section 2).
+/// Weight of the newest response time in the smoothed mean (`alpha` in RFC
+/// 6298, section 2).
 const MEAN_WEIGHT: f64 = 0.125;
-/// See [`MEAN_WEIGHT`].
+/// Weight of the newest response time in its variation (`beta` in RFC 6298,
+/// section 2).
 const VARIATION_WEIGHT: f64 = 0.25;
-/// See [`MEAN_WEIGHT`].
+/// How many variations above the mean the timeout is (`K` in RFC 6298, section
+/// 2).
 const VARIATIONS: f64 = 4.0;
-/// Doublings of the limit after timeouts in a row.
+/// Maximum number of doublings of the timeout after timeouts in a row.
 const MAX_DOUBLINGS: u32 = 3;
 
-/// First pause after a failed call, in milliseconds.
+/// Upper bound of the back-off after the first failed call, in milliseconds.
 const MIN_BACKOFF_MS: u64 = 100;
-/// Longest pause at a store that answers nobody here, in milliseconds: that
-/// it is back should be noticed well within the second that its users are
-/// granted.
+/// Longest back-off while the store answers no call of this instance, in
+/// milliseconds. Its recovery should be noticed well within the one second
+/// that its users are allowed for it.
 const MAX_BACKOFF_MS: u64 = 400;
-/// Instances up to which pauses do not grow with their number.
+/// While the store is overloaded, the longest back-off is [`MAX_BACKOFF_MS`] for
+/// each group of so many instances.
 const INSTANCES_PER_STEP: usize = 30;
 
-/// What this instance has seen of the time that the store's answers take.
+/// The timeout for calls to the store, as estimated by one instance.
 ///
 /// # Example
 ///
@@ -47,12 +50,12 @@
 /// let mut timeout = Timeout::default();
 /// timeout.answered(5);
 /// assert_eq!(timeout.limit_ms(), 800);
-/// // One silence may be a dead connection; several in a row are a busy
-/// // store. Calls that were silent together count once.
+/// // One timeout may be a lost connection, several in a row are a busy store.
+/// // Concurrent calls that time out together count once.
 /// timeout.timed_out(800);
 /// timeout.timed_out(800);
 /// assert_eq!(timeout.limit_ms(), 1_600);
-/// // Answers that take long are waited for from then on.
+/// // After slow answers, the timeout is longer.
 /// timeout.answered(1_500);
 /// assert!(timeout.limit_ms() > 1_500);
 /// ```
@@ -64,15 +67,16 @@
 }
 
 impl Timeout {
-    /// How long an answer may be silent now, in milliseconds.
+    /// Returns the current timeout, in milliseconds.
     #[must_use]
     pub fn limit_ms(&self) -> u64 {
-        let usual = self.mean_ms.unwrap_or_default() + VARIATIONS * self.variation_ms;
+        let estimate = self.mean_ms.unwrap_or_default() + VARIATIONS * self.variation_ms;
         let doubled = f64::from(1_u32 << self.timeouts.min(MAX_DOUBLINGS));
-        (usual.max(MIN_TIMEOUT_MS) * doubled).min(MAX_TIMEOUT_MS) as u64
+        (estimate.max(MIN_TIMEOUT_MS) * doubled).min(MAX_TIMEOUT_MS) as u64
     }
 
-    /// Notes how long an answer took, beyond what it was asked to wait.
+    /// Records the response time of a call, without the time that the call
+    /// asked the store to wait.
     pub fn answered(&mut self, took_ms: u64) {
         let took = took_ms as f64;
         self.timeouts = 0;
@@ -85,31 +89,33 @@
         self.mean_ms = Some(mean + MEAN_WEIGHT * (took - mean));
     }
 
-    /// Notes that an answer was given up after so many milliseconds of
-    /// silence. Only one that had the present limit counts: several calls
-    /// that were under way together are one silence. With each of them
-    /// counted a cut of some seconds left the limit at its most, and reads
-    /// that the cut had swallowed hung for six seconds after it.
+    /// Records that a call timed out after `limit_ms` milliseconds. It counts
+    /// only if that is the current timeout, so that concurrent calls that time
+    /// out together count once. When each of them counted, a network cut of a
+    /// few seconds left the timeout at its maximum, and reads that were lost
+    /// in the cut hung for six seconds after it.
     pub fn timed_out(&mut self, limit_ms: u64) {
         if limit_ms >= self.limit_ms() {
             self.timeouts += 1;
         }
     }
 
-    /// Notes that the store answers nobody here: silence is then an outage's,
-    /// no crowd's, and its end should be noticed soon.
+    /// Records that the store answers no call of this instance. Time-outs are
+    /// then caused by an outage and not by load, and the timeout must be short
+    /// again so that the recovery is noticed soon.
     pub fn unavailable(&mut self) {
         self.timeouts = 0;
     }
 }
 
-/// The longest pause after so many failures in a row, in milliseconds; the
-/// pause is drawn evenly from zero up to it. At a store that is away it is
-/// short. One that answers some calls and not others is crowded, and the
-/// crowd is as large as the number of `instances`.
+/// Returns the upper bound of the back-off after `failures` failed calls in a
+/// row, in milliseconds; the back-off is drawn uniformly from zero to it. While
+/// the store is `unavailable` the bound is short. A store that answers some
+/// calls and not others is overloaded by all `instances`, so the bound grows
+/// with their number.
 #[must_use]
-pub fn max_backoff_ms(failures: u32, instances: usize, away: bool) -> u64 {
-    let crowd = if away { 1 } else { instances.div_ceil(INSTANCES_PER_STEP).max(1) as u64 };
+pub fn max_backoff_ms(failures: u32, instances: usize, unavailable: bool) -> u64 {
+    let scale = if unavailable { 1 } else { instances.div_ceil(INSTANCES_PER_STEP).max(1) as u64 };
     let doubled = MIN_BACKOFF_MS << failures.saturating_sub(1).min(8);
-    doubled.min(MAX_BACKOFF_MS * crowd)
+    doubled.min(MAX_BACKOFF_MS * scale)
 }
--- a/crates/hollywell/src/error.rs
+++ b/crates/hollywell/src/error.rs
@@ -1,8 +1,8 @@
-//! The closed list of error kinds, and the table from kind to answer.
+//! All error kinds, and the HTTP answers that they are mapped to.
 //!
-//! Everything that hollywell can tell a caller other than a target's own
-//! answer is one [`Kind`]. [`Kind::answer`] is the single place where a kind
-//! becomes a status, a `Retry-After` and a word on whether the request ran.
+//! Every answer by hollywell itself, as opposed to a target's answer, has a
+//! [`Kind`]. [`Kind::answer`] is the only place that maps a kind to a status, a
+//! `Retry-After` header and a statement on whether the request ran.
 
 use std::fmt;
 
@@ -12,14 +12,15 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Outcome {
-    /// It did not run, and no earlier send of the same key did.
+    /// The request did not run, and neither did an earlier send of the same
+    /// key.
     NotRun,
-    /// It may have run. Sending it again with the same key is safe.
+    /// The request may have run. It is safe to send it again with the same key.
     Unknown,
 }
 
 impl Outcome {
-    /// The value of the `Hollywell-Outcome` header.
+    /// Returns the value of the `Hollywell-Outcome` header.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
         match self {
@@ -33,13 +34,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Kind {
-    /// The request could not be understood.
+    /// The request is malformed.
     Malformed,
     /// The body or the headers exceed the configured size.
     TooLarge,
-    /// No such path or method.
+    /// The path or the method does not exist.
     NoRoute,
-    /// The caller sent no key, or none that an organisation has.
+    /// The caller sent no key, or one that no organisation has.
     UnknownCaller,
     /// The table has no row for the trainer.
     UnknownTrainer,
@@ -49,50 +50,52 @@
     KeyMismatch,
     /// Another edit of the same row came first.
     Conflict,
-    /// The instance has no room for more work.
+    /// The instance has no capacity for more work.
     Overloaded,
     /// The instance is stopping.
     Draining,
-    /// No usable target at the moment.
+    /// No target is usable at the moment.
     NoTarget,
-    /// The target refused the connection or said that it did not run it.
+    /// The target refused the connection or reported that it did not run the
+    /// request.
     TargetRefused,
-    /// Targets that ran the same request before have ended.
+    /// Targets that ran the same request before have crashed.
     EndsTargets,
     /// The deadline passed before the request was dispatched.
     DeadlinePassed,
-    /// A copy of the claim could not be placed, so it was not dispatched.
+    /// The replica did not confirm its copy of the claim, so the request was
+    /// not dispatched.
     #[serde(rename = "no_deputy")]
     NoReplica,
-    /// The send was overtaken by an earlier refusal of the same key.
+    /// The same key was refused before this send could be judged.
     Superseded,
-    /// The key's owner could not be asked, or cannot act now.
+    /// The key's owner could not be reached, or cannot act now.
     Unverified,
-    /// The request was dispatched and no whole answer came back.
+    /// The request was dispatched, but no complete answer was received.
     OutcomeUnknown,
     /// The platform's log cannot be reached.
     #[serde(rename = "log_away")]
     LogUnavailable,
-    /// The platform's store did not take what must be kept, or cannot be
-    /// asked for what is not known here.
+    /// The platform's store did not accept a record that must be stored, or a
+    /// required record could not be read from it.
     #[serde(rename = "store_away")]
     StoreUnavailable,
-    /// The platform's store has no room for what would have to be kept.
+    /// The platform's store has no capacity for what would have to be stored.
     StoreFull,
-    /// A fault of hollywell itself.
+    /// An internal error of hollywell.
     Internal,
 }
 
-/// How a kind is answered.
+/// The HTTP answer to a request that was refused or given up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Answer {
     /// HTTP status (RFC 9110, section 15).
     pub status: u16,
     /// Whether the request ran.
     pub outcome: Outcome,
-    /// When to come back, in seconds; `None` where repeating cannot help.
+    /// When to retry, in seconds; `None` if a retry cannot succeed.
     pub retry_after_s: Option<u32>,
-    /// One sentence for a person.
+    /// Short description for people.
     pub text: &'static str,
 }
 
@@ -132,19 +135,19 @@
         Kind::Internal,
     ];
 
-    /// The answer that a kind is given.
+    /// Returns the answer for this kind.
     ///
-    /// A kind whose outcome is [`Outcome::NotRun`] may only be used by code
-    /// that knows it: for a keyed request that is the key's owner alone.
-    /// Anyone else uses [`Kind::Unverified`], because an earlier send of the
-    /// same key may have run elsewhere.
+    /// Kinds with the outcome [`Outcome::NotRun`] may only be used where it is
+    /// known that the request did not run. For a keyed request, only the key's
+    /// owner knows that; all other instances must use [`Kind::Unverified`],
+    /// because an earlier send of the same key may have run elsewhere.
     ///
     /// # Example
     ///
     /// ```
     /// use hollywell::error::{Kind, Outcome};
     ///
-    /// // A stopping instance that does not own the key cannot say "not run".
+    /// // A stopping instance that does not own the key must not use `Draining`.
     /// assert_eq!(Kind::Draining.answer().outcome, Outcome::NotRun);
     /// assert_eq!(Kind::Unverified.answer().outcome, Outcome::Unknown);
     /// ```
@@ -167,8 +170,8 @@
             Kind::EndsTargets => answer(503, NotRun, Some(600), "targets that ran it have ended"),
             Kind::DeadlinePassed => answer(504, NotRun, Some(1), "the deadline passed first"),
             Kind::NoReplica => answer(503, NotRun, Some(2), "the claim could not be copied"),
-            // Not "not run": another send of the key that came after the
-            // refusal may be running.
+            // The outcome is unknown, because a send of the key that arrived
+            // after the refusal may be running.
             Kind::Superseded => answer(503, Unknown, Some(1), "an earlier refusal overtook it"),
             Kind::Unverified => answer(503, Unknown, Some(1), "the key's owner cannot act now"),
             Kind::OutcomeUnknown => answer(502, Unknown, Some(5), "no whole answer came back"),
@@ -179,7 +182,7 @@
         }
     }
 
-    /// The kind's name in metrics, logs and answers.
+    /// Returns the name used in metrics, logs and answers.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
         match self {
