--- a/crates/hollywell/src/entry/shared.rs
+++ b/crates/hollywell/src/entry/shared.rs
@@ -32,8 +32,8 @@
         time::Time,
     },
     entry::{
-        carry, clean,
-        dialect::Dialect,
+        clean,
+        codec::Codec,
         ends,
         exchange::Pool,
         feed::Feed,
@@ -42,12 +42,12 @@
         outbox,
         reader::Reader,
         relay::Relay,
-        run,
-        run::Text,
+        resume, run,
+        run::GeneratedText,
         settings::Settings,
         store::{Append, Appended, Client, Fault, Part, Records},
         suspects,
-        texts::Texts,
+        texts::TextCache,
         usage,
     },
 };
@@ -136,7 +136,7 @@
     /// Newest weights of each model, and how much of it is asked for.
     pub models: Models,
     /// Text of samples that are not listed.
-    pub texts: HashMap<Slot, Text>,
+    pub texts: HashMap<Slot, GeneratedText>,
     /// Bundles of samples that this instance runs.
     pub bundles: HashMap<(String, usize), Rc<Bundle>>,
     /// Runs in flight.
@@ -196,7 +196,7 @@
     /// Settings.
     pub settings: Settings,
     /// How the platform spells things.
-    pub dialect: Dialect,
+    pub codec: Codec,
     /// The store, for what is not a read.
     pub store: Client,
     /// Reads of the store.
@@ -234,7 +234,7 @@
     /// Results on their way to the store, by partition.
     pub outbox: Vec<outbox::Outbox>,
     /// Whole texts that were read or written lately.
-    pub texts: Texts,
+    pub texts: TextCache,
     /// What is known against requests and not in the store yet.
     pub unsaved: suspects::Unsaved,
     /// Permits to try suspects that this instance gives out.
@@ -270,7 +270,7 @@
 
     /// Notes whether a call of the store went well.
     pub fn store_did(&self, well: bool) {
-        self.meters.store.with_label_values(&[if well { "yes" } else { "no" }]).inc();
+        self.meters.store_calls.with_label_values(&[if well { "yes" } else { "no" }]).inc();
         let now = self.now();
         let mut world = self.world.borrow_mut();
         if well {
@@ -302,7 +302,7 @@
         let stored = append.stored();
         let allowed = self.world.borrow().room.allows(self.now(), append.purpose, stored);
         if !allowed {
-            self.meters.unstored.with_label_values(&[purpose, "kept_back"]).inc();
+            self.meters.failed_appends.with_label_values(&[purpose, "kept_back"]).inc();
             return Err(Fault::Full);
         }
         let appended = (self.store.append)(append).await;
@@ -312,14 +312,14 @@
             Ok(_) => {
                 self.world.borrow_mut().room.appended(stored);
                 let bytes = u64::try_from(bytes).unwrap_or(u64::MAX);
-                self.meters.stored.with_label_values(&[purpose]).inc_by(bytes);
+                self.meters.appended_bytes.with_label_values(&[purpose]).inc_by(bytes);
             }
             Err(fault) => {
                 if *fault == Fault::Full {
                     let now = self.now();
                     self.world.borrow_mut().room.refused(now);
                 }
-                self.meters.unstored.with_label_values(&[purpose, fault.as_str()]).inc();
+                self.meters.failed_appends.with_label_values(&[purpose, fault.as_str()]).inc();
             }
         }
         appended
@@ -474,7 +474,7 @@
     fn grown(self: &Rc<Shared>, part: usize, slot: Slot) {
         let kept = {
             let world = self.world.borrow();
-            let Some(own) = world.texts.get(&slot).map(|text| text.last) else {
+            let Some(own) = world.texts.get(&slot).map(|text| text.last_event) else {
                 return;
             };
             let job = world.shelves[part].book.jobs.get(&slot.job);
@@ -519,7 +519,7 @@
             };
             let tokens = head.samples.iter().map(|sample| u64::from(sample.tokens)).sum();
             world.models.asked(&head.model, tokens, head.samples.len() as u64);
-            work.samples = carry::items(&mut world.shelves, part, &work.job, &head);
+            work.samples = resume::items(&mut world.shelves, part, &work.job, &head);
             work
         };
         log::debug!("job {} opened: {} samples", work.job, work.samples.len());
