--- a/crates/hollywell/src/entry/caller.rs
+++ b/crates/hollywell/src/entry/caller.rs
@@ -137,8 +137,8 @@
 ) -> Result<T, Kind> {
     let until = Instant::now() + CONFIGURATION_WAIT;
     loop {
-        let told = shared.configured.notified();
-        let plan = shared.world.borrow().plan.clone().ok_or(Kind::StoreUnavailable)?;
+        let told = shared.configuration_read.notified();
+        let plan = shared.control.borrow().configuration.clone().ok_or(Kind::StoreUnavailable)?;
         let current = is_current(shared);
         match judge(&plan) {
             Ok(judged) if !is_too_old(shared, &plan) => return Ok(judged),
--- a/crates/hollywell/src/entry/configuration.rs
+++ b/crates/hollywell/src/entry/configuration.rs
@@ -57,19 +57,19 @@
 
 /// Puts a configuration in force, if it is newer.
 pub(super) fn adopt(shared: &Shared, plan: Plan, from: &str) {
-    let mut world = shared.world.borrow_mut();
-    let before = world.plan.as_ref().map_or(0, |plan| plan.version);
+    let mut control = shared.control.borrow_mut();
+    let before = control.configuration.as_ref().map_or(0, |plan| plan.version);
     if plan.version > before {
         log::info!("configuration {} in force, was {before}, from {from}", plan.version);
-        world.fleet.configure(plan.pools.iter().map(|pool| pool.name.as_str()));
-        world.plan = Some(Rc::new(plan));
+        control.fleet.configure(plan.pools.iter().map(|pool| pool.name.as_str()));
+        control.configuration = Some(Rc::new(plan));
     }
 }
 
 /// Takes over which weights of a model are the newest.
 pub(super) fn adopt_version(shared: &Shared, model: &str, version: u64) {
-    let mut world = shared.world.borrow_mut();
-    let named = world.models.named.entry(model.to_owned()).or_insert(0);
+    let mut control = shared.control.borrow_mut();
+    let named = control.models.named.entry(model.to_owned()).or_insert(0);
     if *named < version {
         *named = version;
         log::info!("model {model} is named version {version}");
@@ -78,7 +78,7 @@
 
 /// Takes over whether a failure domain is evacuated.
 pub(super) fn set_evacuated(shared: &Shared, domain: &str, is_on: bool) {
-    if !shared.world.borrow_mut().fleet.evacuate(domain, is_on) {
+    if !shared.control.borrow_mut().fleet.evacuate(domain, is_on) {
         return;
     }
     let change = if is_on { "gets nothing new from now on" } else { "takes work again" };
@@ -95,7 +95,7 @@
     on: &BTreeSet<String>,
     keep: impl Fn(&str) -> bool,
 ) {
-    let before = shared.world.borrow().fleet.evacuated().clone();
+    let before = shared.control.borrow().fleet.evacuated().clone();
     let over = before.difference(on).filter(|domain| !keep(domain));
     over.for_each(|domain| set_evacuated(shared, domain, false));
     on.iter().for_each(|domain| set_evacuated(shared, domain, true));
@@ -103,15 +103,15 @@
 
 /// Notes that the operator's topic, as it was at an instant, is known.
 pub(super) fn mark_current(shared: &Shared, at: Time) {
-    let mut world = shared.world.borrow_mut();
-    world.plan_at = world.plan_at.max(Some(at));
-    shared.configured.notify_waiters();
+    let mut control = shared.control.borrow_mut();
+    control.configuration_read_at = control.configuration_read_at.max(Some(at));
+    shared.configuration_read.notify_waiters();
 }
 
 /// How old what is known of the configuration is, in milliseconds.
 #[must_use]
 pub fn age_ms(shared: &Shared) -> Option<u64> {
-    let at = shared.world.borrow().plan_at?;
+    let at = shared.control.borrow().configuration_read_at?;
     Some(shared.now().since(at))
 }
 
@@ -122,7 +122,7 @@
         if age_ms(&shared).is_some_and(|age| age < STALE_MS) {
             continue;
         }
-        let peers = peers::some(&shared, PEERS_PER_ROUND);
+        let peers = peers::random_peers(&shared, PEERS_PER_ROUND);
         let asked: Vec<_> =
             peers.into_iter().map(|peer| update_from(shared.clone(), peer)).collect();
         let asked: Vec<_> = asked.into_iter().map(tokio::task::spawn_local).collect();
@@ -147,23 +147,24 @@
                 .for_each(|(model, version)| adopt_version(&shared, model, *version));
             let known_at = Time(asked_at.0.saturating_sub(message.age_ms));
             if let Some(evacuated) = message.evacuated
-                && shared.world.borrow().plan_at < Some(known_at)
+                && shared.control.borrow().configuration_read_at < Some(known_at)
             {
                 replace_evacuated(&shared, &evacuated, |_| false);
             }
             // What the peer knew is of use for as far as it was taken over.
-            let version = shared.world.borrow().plan.as_ref().map_or(0, |plan| plan.version);
+            let version =
+                shared.control.borrow().configuration.as_ref().map_or(0, |plan| plan.version);
             if version >= message.version {
                 mark_current(&shared, known_at);
             }
-            shared.open_waiting();
+            shared.open_waiting_jobs();
         }
         Err(why) => log::info!("asking {peer} for the configuration: {why}"),
     }
 }
 
 async fn request(shared: &Shared, peer: &str) -> Result<Message, String> {
-    let have = shared.world.borrow().plan.as_ref().map_or(0, |plan| plan.version);
+    let have = shared.control.borrow().configuration.as_ref().map_or(0, |plan| plan.version);
     let answer = peers::get(shared, peer, &format!("{PATH}{have}"), REQUEST_TIMEOUT).await?;
     let status = answer.head.status;
     let body = answer
@@ -180,18 +181,18 @@
 pub(super) fn respond(shared: &Shared, path: &str) -> Response<Full<Bytes>> {
     let have: u64 = path.strip_prefix(PATH).and_then(|have| have.parse().ok()).unwrap_or(0);
     let Some(age_ms) = age_ms(shared) else {
-        return peers::nothing(StatusCode::SERVICE_UNAVAILABLE);
+        return peers::empty_response(StatusCode::SERVICE_UNAVAILABLE);
     };
-    let world = shared.world.borrow();
-    let version = world.plan.as_ref().map_or(0, |plan| plan.version);
-    let plan = world.plan.as_deref().filter(|plan| plan.version > have).cloned();
-    let evacuated = Some(world.fleet.evacuated().clone());
-    let message = Message { age_ms, version, plan, named: world.models.named.clone(), evacuated };
+    let control = shared.control.borrow();
+    let version = control.configuration.as_ref().map_or(0, |plan| plan.version);
+    let plan = control.configuration.as_deref().filter(|plan| plan.version > have).cloned();
+    let evacuated = Some(control.fleet.evacuated().clone());
+    let message = Message { age_ms, version, plan, named: control.models.named.clone(), evacuated };
     match serde_json::to_vec(&message) {
         Ok(bytes) => Response::new(Full::new(bytes.into())),
         Err(error) => {
             log::error!("the configuration cannot be told: {error}");
-            peers::nothing(StatusCode::INTERNAL_SERVER_ERROR)
+            peers::empty_response(StatusCode::INTERNAL_SERVER_ERROR)
         }
     }
 }
--- a/crates/hollywell/src/entry/clean.rs
+++ b/crates/hollywell/src/entry/garbage.rs
@@ -18,18 +18,18 @@
         time::Time,
     },
     entry::{
-        shared::{JOBS, Shared, TEXTS, wall_ms},
-        store::{Append, Fault, Part},
+        shared::{JOBS, Shared, TEXTS, unix_ms},
+        store::{Append, Partition, StoreError},
     },
 };
 
 /// Time between looks.
-const LOOK: Duration = Duration::from_secs(1);
+const SCAN_INTERVAL: Duration = Duration::from_secs(1);
 /// Records that one call drops.
-const AT_ONCE: usize = 1_000;
+const MAX_BATCH: usize = 1_000;
 /// How long an append without an answer may still be done, in milliseconds;
 /// the platform says seconds.
-const LATE_MS: u64 = 30_000;
+const LATE_APPEND_MS: u64 = 30_000;
 
 /// Records that were appended, or may have been, and that nothing names.
 #[derive(Debug, Default)]
@@ -42,26 +42,26 @@
     /// Not to be dropped before.
     due: Time,
     /// What would need it after all.
-    unless: Unless,
+    needed_by: NeededBy,
 }
 
 /// What may need a record that was appended.
 #[derive(Clone, Debug)]
-enum Unless {
+enum NeededBy {
     /// Nothing.
-    Never,
+    Nothing,
     /// A job that names it in its head.
-    Named(String),
+    Reference(String),
     /// A job that is there.
-    There(String),
+    Job(String),
 }
 
 impl Orphans {
     /// Adds texts whose append got no answer; they are appended again under
     /// other keys.
     pub fn texts(&self, now: Time, part: usize, keys: impl IntoIterator<Item = String>) {
-        let due = now.after(LATE_MS);
-        let orphan = |key| Orphan { part, key, due, unless: Unless::Never };
+        let due = now.after(LATE_APPEND_MS);
+        let orphan = |key| Orphan { part, key, due, needed_by: NeededBy::Nothing };
         self.0.borrow_mut().extend(keys.into_iter().map(orphan));
     }
 
@@ -73,16 +73,16 @@
         job: &str,
         keys: impl IntoIterator<Item = String>,
     ) {
-        let due = now.after(LATE_MS);
-        let unless = || Unless::Named(job.to_owned());
-        let orphan = |key| Orphan { part, key, due, unless: unless() };
+        let due = now.after(LATE_APPEND_MS);
+        let needed_by = || NeededBy::Reference(job.to_owned());
+        let orphan = |key| Orphan { part, key, due, needed_by: needed_by() };
         self.0.borrow_mut().extend(keys.into_iter().map(orphan));
     }
 
     /// Notes that a job was not accepted and never will be.
     pub fn refused(&self, now: Time, job: &str) {
         for orphan in self.0.borrow_mut().iter_mut() {
-            if matches!(&orphan.unless, Unless::Named(other) if other == job) {
+            if matches!(&orphan.needed_by, NeededBy::Reference(other) if other == job) {
                 orphan.due = now;
             }
         }
@@ -90,15 +90,15 @@
 
     /// Adds the end of a job that is not known, and may be accepted late.
     pub fn end(&self, now: Time, part: usize, job: &str) {
-        let (due, unless) = (now.after(LATE_MS), Unless::There(job.to_owned()));
+        let (due, needed_by) = (now.after(LATE_APPEND_MS), NeededBy::Job(job.to_owned()));
         let key = batch::end_record(job).0;
-        self.0.borrow_mut().push(Orphan { part, key, due, unless });
+        self.0.borrow_mut().push(Orphan { part, key, due, needed_by });
     }
 }
 
 /// What one look found to be dropped in one partition.
 #[derive(Default)]
-struct Due {
+struct Deletions {
     keys: Keys,
     /// What is known of jobs once it is dropped.
     after: Vec<(String, Garbage)>,
@@ -108,14 +108,14 @@
 
 /// Drops this instance's share of what is not needed until it stops.
 pub async fn serve(shared: Rc<Shared>) {
-    let mut spares: HashMap<String, Garbage> = HashMap::new();
+    let mut garbage: HashMap<String, Garbage> = HashMap::new();
     loop {
-        sleep(LOOK).await;
-        look(&shared, &mut spares);
-        for part in 0..shared.listed.len() {
-            let due = due(&shared, part, &spares);
-            match drop_due(&shared, part, &due).await {
-                Ok(()) => done(&shared, part, due, &mut spares),
+        sleep(SCAN_INTERVAL).await;
+        observe(&shared, &mut garbage);
+        for part in 0..shared.partition_changed.len() {
+            let due = find_deletions(&shared, part, &garbage);
+            match delete(&shared, part, &due).await {
+                Ok(()) => record_deleted(&shared, part, due, &mut garbage),
                 Err(fault) => {
                     let count = due.keys.jobs.len() + due.keys.texts.len();
                     log::info!("{count} records of partition {part} are not dropped yet: {fault}");
@@ -126,37 +126,41 @@
 }
 
 /// Takes over what is to be seen of the jobs.
-fn look(shared: &Shared, spares: &mut HashMap<String, Garbage>) {
+fn observe(shared: &Shared, garbage: &mut HashMap<String, Garbage>) {
     let now = shared.now();
-    let world = shared.world.borrow();
-    let jobs = || world.shelves.iter().flat_map(|shelf| &shelf.book.jobs);
+    let control = shared.control.borrow();
+    let jobs = || control.partitions.iter().flat_map(|partition| &partition.index.jobs);
     for (id, job) in jobs() {
-        spares.entry(id.clone()).or_insert_with(|| Garbage::new(now)).observe(job, now);
+        garbage.entry(id.clone()).or_insert_with(|| Garbage::new(now)).observe(job, now);
     }
-    spares.retain(|id, _| world.shelves.iter().any(|shelf| shelf.book.jobs.contains_key(id)));
+    garbage.retain(|id, _| {
+        control.partitions.iter().any(|partition| partition.index.jobs.contains_key(id))
+    });
 }
 
 /// Records of a partition that nothing needs and that fall to this instance.
-fn due(shared: &Shared, part: usize, spares: &HashMap<String, Garbage>) -> Due {
+fn find_deletions(shared: &Shared, part: usize, garbage: &HashMap<String, Garbage>) -> Deletions {
     let status_ms = shared.settings.times.status_ms();
-    let (now, wall_ms, terms) = (shared.now(), wall_ms(), Retention { status_ms });
-    let world = shared.world.borrow();
-    let mut due = Due::default();
-    let book = &world.shelves[part].book;
+    let (now, unix_ms, terms) = (shared.now(), unix_ms(), Retention { status_ms });
+    let control = shared.control.borrow();
+    let mut due = Deletions::default();
+    let book = &control.partitions[part].index;
     for (id, job) in &book.jobs {
-        let Some(spare) = spares.get(id) else {
+        let Some(job_garbage) = garbage.get(id) else {
             continue;
         };
         let mut after_drop = None;
-        let keys = if spare.is_expired(job, now, wall_ms, terms) {
+        let keys = if job_garbage.is_expired(job, now, unix_ms, terms) {
             job.keys(id)
         } else {
-            let (keys, after) = spare.next(id, job, now);
+            let (keys, after) = job_garbage.next(id, job, now);
             after_drop = Some(after);
             keys
         };
         // Asked last: it takes a hash for each instance.
-        if keys.is_empty() || owner(world.roster.members(), id, "") != Some(shared.me.as_str()) {
+        if keys.is_empty()
+            || owner(control.roster.members(), id, "") != Some(shared.instance_id.as_str())
+        {
             continue;
         }
         match after_drop {
@@ -168,29 +172,34 @@
         due.keys.manifests.extend(keys.manifests);
     }
     // What was read before it is due says nothing.
-    let read_at = world.shelves[part].read_at;
+    let read_at = control.partitions[part].read_at;
     let orphans = shared.orphans.0.borrow();
     for orphan in orphans.iter().filter(|orphan| orphan.part == part && read_at >= Some(orphan.due))
     {
         due.orphans.push(orphan.key.clone());
         let key = orphan.key.clone();
-        match &orphan.unless {
-            Unless::Named(job) if is_named(book, job, &key) => {}
-            Unless::There(job) if book.jobs.contains_key(job) => {}
-            Unless::There(_) => due.keys.jobs.push(key),
-            Unless::Never | Unless::Named(_) => due.keys.texts.push(key),
+        match &orphan.needed_by {
+            NeededBy::Reference(job) if is_referenced(book, job, &key) => {}
+            NeededBy::Job(job) if book.jobs.contains_key(job) => {}
+            NeededBy::Job(_) => due.keys.jobs.push(key),
+            NeededBy::Nothing | NeededBy::Reference(_) => due.keys.texts.push(key),
         }
     }
     due
 }
 
-fn is_named(book: &Index, job: &str, key: &str) -> bool {
+fn is_referenced(book: &Index, job: &str, key: &str) -> bool {
     let job = book.jobs.get(job);
     job.is_some_and(|job| job.manifest.bundles.iter().any(|bundle| bundle.key == key))
 }
 
-fn done(shared: &Shared, part: usize, due: Due, spares: &mut HashMap<String, Garbage>) {
-    spares.extend(due.after);
+fn record_deleted(
+    shared: &Shared,
+    part: usize,
+    due: Deletions,
+    garbage: &mut HashMap<String, Garbage>,
+) {
+    garbage.extend(due.after);
     let mut orphans = shared.orphans.0.borrow_mut();
     orphans.retain(|orphan| orphan.part != part || !due.orphans.contains(&orphan.key));
     for id in due.over {
@@ -199,15 +208,15 @@
 }
 
 /// Drops texts first: what names them is there until they are gone.
-async fn drop_due(shared: &Rc<Shared>, part: usize, due: &Due) -> Result<(), Fault> {
-    drop_keys(shared, &Part::at(TEXTS, part), &due.keys.texts).await?;
+async fn delete(shared: &Rc<Shared>, part: usize, due: &Deletions) -> Result<(), StoreError> {
+    delete_keys(shared, &Partition::at(TEXTS, part), &due.keys.texts).await?;
     for job in &due.over {
-        sweep(shared, &Part::at(TEXTS, part), job).await?;
+        delete_unreferenced_texts(shared, &Partition::at(TEXTS, part), job).await?;
     }
-    let jobs = Part::at(JOBS, part);
-    drop_keys(shared, &jobs, &due.keys.jobs).await?;
-    for some in due.keys.manifests.chunks(AT_ONCE / 2) {
-        drop_keys(shared, &jobs, some.as_flattened()).await?;
+    let jobs = Partition::at(JOBS, part);
+    delete_keys(shared, &jobs, &due.keys.jobs).await?;
+    for some in due.keys.manifests.chunks(MAX_BATCH / 2) {
+        delete_keys(shared, &jobs, some.as_flattened()).await?;
     }
     Ok(())
 }
@@ -215,7 +224,11 @@
 /// Drops texts of a job that nothing names: an instance may have ended
 /// between a text's append and that of its result. What is known was dropped
 /// before, so that mostly nothing is left.
-async fn sweep(shared: &Rc<Shared>, part: &Part, job: &str) -> Result<(), Fault> {
+async fn delete_unreferenced_texts(
+    shared: &Rc<Shared>,
+    part: &Partition,
+    job: &str,
+) -> Result<(), StoreError> {
     let first = batch::key_prefix(job);
     let mut after = Some(first.clone());
     while let Some(from) = after {
@@ -225,13 +238,17 @@
         let own: Vec<String> = keys.filter(|key| key.starts_with(&first)).collect();
         // What sorts behind the job's keys belongs to others.
         after = page.after.filter(|_| own.len() == all);
-        drop_keys(shared, part, &own).await?;
+        delete_keys(shared, part, &own).await?;
     }
     Ok(())
 }
 
-async fn drop_keys(shared: &Rc<Shared>, part: &Part, keys: &[String]) -> Result<(), Fault> {
-    for some in keys.chunks(AT_ONCE) {
+async fn delete_keys(
+    shared: &Rc<Shared>,
+    part: &Partition,
+    keys: &[String],
+) -> Result<(), StoreError> {
+    for some in keys.chunks(MAX_BATCH) {
         let records = some.iter().map(|key| (Some(key.clone()), Bytes::new())).collect();
         let (part, purpose) = (part.clone(), Use::Drop);
         shared.append(Append { part, records, expected_end: None, purpose }).await?;
