--- a/crates/hollywell/src/cli/mod.rs
+++ b/crates/hollywell/src/cli/mod.rs
@@ -147,7 +147,7 @@
     let config = &settings.config;
     println!(
         "ok: instance {} in {}, callers on {}, peers on {}",
-        config.me.name, config.domain, settings.listen, settings.peer_listen
+        config.id.name, config.domain, settings.listen, settings.peer_listen
     );
     Ok(())
 }
--- a/crates/hollywell/src/core/batch/index.rs
+++ b/crates/hollywell/src/core/batch/index.rs
@@ -116,8 +116,8 @@
 }
 
 impl Written {
-    fn text(&mut self, text: &TextRef) {
-        self.texts += text.stored(LOG_OVERHEAD);
+    fn add_text(&mut self, text: &TextRef) {
+        self.texts += text.stored_bytes(LOG_OVERHEAD);
         self.texts_end = self.texts_end.max(text.offset + 1);
     }
 }
@@ -179,7 +179,7 @@
                 let outcome = Outcome::decode(value.clone());
                 let outcome = outcome.map_err(|error| skip(&error.to_string()))?;
                 if let Some(text) = &outcome.text {
-                    self.written.text(text);
+                    self.written.add_text(text);
                 }
                 if std::mem::replace(&mut entry.done[index], true) {
                     entry.record_duplicate(&record.key, outcome);
@@ -187,7 +187,7 @@
                 }
                 entry.partials.remove(&index);
                 entry.live += (record.key.len() + value_len) as u64 + LIVE_OVERHEAD;
-                entry.texts += outcome.text.map_or(0, |text| text.stored(LIVE_OVERHEAD));
+                entry.texts += outcome.text.map_or(0, |text| text.stored_bytes(LIVE_OVERHEAD));
                 let (offset, key) = (record.offset, record.key.clone());
                 entry.results.push(ResultRecord { offset, key, value: value.clone() });
                 entry.count(index);
@@ -201,7 +201,7 @@
                 let partial = Partial::decode(value.clone());
                 let partial = partial.map_err(|error| skip(&error.to_string()))?;
                 if let Some(newest) = partial.texts.last() {
-                    self.written.text(newest);
+                    self.written.add_text(newest);
                 }
                 entry.record_partial(job, index, &partial);
                 if entry.done[index] || entry.ended {
@@ -247,7 +247,7 @@
     fn open(&mut self, job: &str, record: &Record, value: &Bytes) -> Result<Vec<Change>, String> {
         let mut manifest = Manifest::decode(value.clone()).map_err(|error| error.to_string())?;
         for bundle in &manifest.bundles {
-            self.written.text(bundle);
+            self.written.add_text(bundle);
         }
         if let Some(job) = self.jobs.get_mut(job) {
             // Two instances accepted the same submission. The store retains
@@ -299,9 +299,9 @@
     pub fn bytes(&self) -> u64 {
         let requests = self.manifest.bundles.iter().zip(self.needed_bundles());
         let requests = requests.filter(|(_, needed)| *needed);
-        let requests: u64 = requests.map(|(bundle, _)| bundle.stored(LIVE_OVERHEAD)).sum();
+        let requests: u64 = requests.map(|(bundle, _)| bundle.stored_bytes(LIVE_OVERHEAD)).sum();
         let partials = self.partials.values().flat_map(|partial| &partial.texts);
-        let partials = partials.map(|text| text.stored(LIVE_OVERHEAD));
+        let partials = partials.map(|text| text.stored_bytes(LIVE_OVERHEAD));
         self.live + self.texts + requests + partials.sum::<u64>()
     }
 
@@ -321,7 +321,7 @@
     /// Estimated tokens of the samples that have a result, and bytes of their
     /// texts, to estimate the size of the texts to come.
     #[must_use]
-    pub fn sizes(&self) -> (u64, u64) {
+    pub fn finished_sizes(&self) -> (u64, u64) {
         let done = self.manifest.samples.iter().zip(&self.done).filter(|(_, done)| **done);
         let tokens = done.map(|(sample, _)| u64::from(sample.tokens)).sum();
         (tokens, self.texts)
@@ -329,7 +329,7 @@
 
     /// Estimated tokens of the samples that are still to be run.
     #[must_use]
-    pub fn tokens_to_come(&self) -> u64 {
+    pub fn remaining_tokens(&self) -> u64 {
         if self.ended {
             return 0;
         }
--- a/crates/hollywell/src/core/batch/mod.rs
+++ b/crates/hollywell/src/core/batch/mod.rs
@@ -106,7 +106,7 @@
 impl Submission {
     /// Removes the named headers from all samples: callers may not set them.
     /// The names must be in lower case.
-    pub fn drop_headers(&mut self, names: &[&str]) {
+    pub fn remove_headers(&mut self, names: &[&str]) {
         let is_reserved =
             |header: &Header| names.contains(&header.name.to_ascii_lowercase().as_str());
         for sample in &mut self.samples {
@@ -148,7 +148,7 @@
     /// Bytes that the text occupies in the store, including the overhead of a
     /// record.
     #[must_use]
-    pub fn stored(&self, overhead: u64) -> u64 {
+    pub fn stored_bytes(&self, overhead: u64) -> u64 {
         u64::from(self.len) + self.key.len() as u64 + overhead
     }
 
--- a/crates/hollywell/src/core/lease.rs
+++ b/crates/hollywell/src/core/lease.rs
@@ -91,8 +91,8 @@
 /// One instance's view of its failure domain's lease.
 #[derive(Clone, Debug, Default)]
 pub struct State {
-    seen: Option<u64>,
-    seen_at: Time,
+    renewed: Option<u64>,
+    read_at: Time,
     first_sent: Option<Time>,
     last_sent: Option<Time>,
     held_until: Time,
@@ -101,11 +101,11 @@
 impl State {
     /// Records the current grant, as read from the log at `now`.
     pub fn observe(&mut self, local: &Instance, grant: &Grant, now: Time, lease_ms: u64) {
-        if self.seen == Some(grant.renewed) {
+        if self.renewed == Some(grant.renewed) {
             return;
         }
-        self.seen = Some(grant.renewed);
-        self.seen_at = now;
+        self.renewed = Some(grant.renewed);
+        self.read_at = now;
         self.last_sent = None;
         // Any of the repeated claims may have been accepted, but none was sent
         // before the first.
@@ -131,10 +131,10 @@
         if retry_at.is_some_and(|at| now < at) {
             return Step::Wait;
         }
-        let due = match (self.seen, is_holder) {
+        let due = match (self.renewed, is_holder) {
             (None, _) => Time(0),
-            (Some(_), true) => self.seen_at.after(lease_ms / 3),
-            (Some(_), false) => self.seen_at.after(lease_ms + guard_ms),
+            (Some(_), true) => self.read_at.after(lease_ms / 3),
+            (Some(_), false) => self.read_at.after(lease_ms + guard_ms),
         };
         if now < due {
             return Step::Wait;
--- a/crates/hollywell/src/core/member.rs
+++ b/crates/hollywell/src/core/member.rs
@@ -218,7 +218,7 @@
     ///
     /// What is known about a process is kept as long as its name is listed with
     /// the same address.
-    pub fn take_list(&mut self, list: Vec<Listed>, local: &str) {
+    pub fn update(&mut self, list: Vec<Listed>, local: &str) {
         let mut targets = std::mem::take(&mut self.targets);
         let mut peers = std::mem::take(&mut self.peers);
         for listed in list {
--- a/crates/hollywell/src/core/organisation.rs
+++ b/crates/hollywell/src/core/organisation.rs
@@ -77,7 +77,7 @@
 ///
 /// let survey = Organisation { name: "survey".into(), priority: None };
 /// let directory = Directory::new([(survey, vec!["s3cret"])]).unwrap();
-/// let caller = |values: &[&str]| directory.caller(values.iter().map(|v| v.as_bytes()));
+/// let caller = |values: &[&str]| directory.authenticate(values.iter().map(|v| v.as_bytes()));
 /// assert_eq!(caller(&["Bearer s3cret"]).unwrap().name, "survey");
 /// // Two headers are rejected, even if they are equal.
 /// assert_eq!(caller(&["Bearer s3cret", "Bearer s3cret"]), Err(AuthError::Malformed));
@@ -124,7 +124,7 @@
     /// # Errors
     ///
     /// Returns the reason if the caller cannot be authenticated.
-    pub fn caller<'a>(
+    pub fn authenticate<'a>(
         &self,
         values: impl IntoIterator<Item = &'a [u8]>,
     ) -> Result<&Organisation, AuthError> {
--- a/crates/hollywell/src/core/reducer/agreed.rs
+++ b/crates/hollywell/src/core/reducer/agreed.rs
@@ -132,7 +132,7 @@
 
     /// Number of live instances with a smaller name.
     fn rank(&self) -> u64 {
-        let smaller = |peer: &&Peer| peer.listed.name < self.config.me.name && self.is_live(peer);
+        let smaller = |peer: &&Peer| peer.listed.name < self.config.id.name && self.is_live(peer);
         self.members.peers.values().filter(smaller).count() as u64
     }
 
--- a/crates/hollywell/src/core/reducer/calls.rs
+++ b/crates/hollywell/src/core/reducer/calls.rs
@@ -4,7 +4,7 @@
 //! received one knows whether it ran, and may report "not run". Keyed calls
 //! are handled in [`super::keyed`].
 
-use super::{Flight, Path, Pending, Purpose, State};
+use super::{Attempt, Path, Pending, Purpose, State};
 use crate::{
     core::{
         effect::{Counted, Effect, Reply},
@@ -20,8 +20,8 @@
 impl State {
     pub(super) fn on_call(&mut self, request: Request, arrived: Time, call: &Call) {
         if let Some(kind) = self.refusal_at_entry(call) {
-            let known = if call.key.is_some() { Kind::Unverified } else { kind };
-            self.refuse(request, known);
+            let reported = if call.key.is_some() { Kind::Unverified } else { kind };
+            self.refuse(request, reported);
             return;
         }
         // The deadline does not count from `arrived`: after a pause of the
@@ -43,8 +43,8 @@
         if self.pending.len() >= self.config.calls {
             return Some(Kind::Overloaded);
         }
-        let known = self.members.has_pool(&call.pool);
-        (!known).then_some(Kind::UnknownPool)
+        let exists = self.members.has_pool(&call.pool);
+        (!exists).then_some(Kind::UnknownPool)
     }
 
     /// Dispatches a call without a key to a target that it was not sent to
@@ -89,8 +89,8 @@
             known.in_flight += 1;
             address.clone_from(&known.listed.address);
         }
-        let flight = Flight { target: target.to_owned(), purpose };
-        self.flights.insert(dispatch, flight);
+        let attempt = Attempt { target: target.to_owned(), purpose };
+        self.attempts.insert(dispatch, attempt);
         self.emit(Effect::Dispatch { request, dispatch, address, before, deadline });
         dispatch
     }
@@ -120,12 +120,12 @@
     /// Records the end of an attempt and passes it to the code that started
     /// the attempt.
     pub(super) fn on_target_ended(&mut self, dispatch: Dispatch, end: End, leaving: bool) {
-        let Some(flight) = self.flights.remove(&dispatch) else {
+        let Some(attempt) = self.attempts.remove(&dispatch) else {
             self.emit(Effect::Forget { dispatch });
             return;
         };
-        self.record_target_result(&flight, end, leaving);
-        match flight.purpose {
+        self.record_target_result(&attempt, end, leaving);
+        match attempt.purpose {
             Purpose::Call(request) => self.end_plain(request, dispatch, end),
             Purpose::Key { key, request, tried } => {
                 self.end_keyed(&key, request, tried, dispatch, end);
@@ -134,11 +134,11 @@
         }
     }
 
-    fn record_target_result(&mut self, flight: &Flight, end: End, leaving: bool) {
+    fn record_target_result(&mut self, attempt: &Attempt, end: End, leaving: bool) {
         if leaving {
-            self.members.mark_leaving(&flight.target);
+            self.members.mark_leaving(&attempt.target);
         }
-        let Some(target) = self.members.targets.get_mut(&flight.target) else {
+        let Some(target) = self.members.targets.get_mut(&attempt.target) else {
             return;
         };
         target.in_flight = target.in_flight.saturating_sub(1);
@@ -184,7 +184,7 @@
     }
 }
 
-/// A target's load relative to its slots. This instance's requests in flight
+/// A target's load relative to its slots. This instance's requests in attempt
 /// are added to the reported load, because the report lags.
 pub(super) fn relative_load(target: &Target) -> f64 {
     let own = f64::from(target.in_flight + target.samples);
--- a/crates/hollywell/src/core/reducer/keyed.rs
+++ b/crates/hollywell/src/core/reducer/keyed.rs
@@ -42,7 +42,7 @@
         match (owner, epoch) {
             (Some(owner), Some(epoch)) if owner == *self.owner.local() => {
                 let seen = self.refusals_before(arrived);
-                self.own(request, epoch, seen);
+                self.judge_as_owner(request, epoch, seen);
             }
             (Some(owner), Some(epoch)) => self.forward(request, arrived, &owner, epoch),
             _ => self.refuse(request, Kind::Unverified),
@@ -129,7 +129,7 @@
         self.pending.insert(request, pending);
         let is_addressee = forward.owner == *self.owner.local() && forward.call.key.is_some();
         if is_addressee && !self.exited {
-            self.own(request, forward.epoch, forward.seen);
+            self.judge_as_owner(request, forward.epoch, forward.seen);
         } else {
             self.refuse(request, Kind::Unverified);
         }
@@ -141,7 +141,7 @@
     }
 
     /// Judges a call as the owner of its key.
-    fn own(&mut self, request: Request, epoch: u64, seen: u64) {
+    fn judge_as_owner(&mut self, request: Request, epoch: u64, seen: u64) {
         let Some(pending) = self.pending.get_mut(&request) else {
             return;
         };
@@ -195,8 +195,8 @@
         if self.pending.len() > self.config.calls {
             return Some(Kind::Overloaded);
         }
-        let known = self.members.has_pool(&call.pool);
-        (!known).then_some(Kind::UnknownPool)
+        let exists = self.members.has_pool(&call.pool);
+        (!exists).then_some(Kind::UnknownPool)
     }
 
     /// Refuses a claimed key as "not run" and numbers the refusal.
--- a/crates/hollywell/src/core/reducer/mod.rs
+++ b/crates/hollywell/src/core/reducer/mod.rs
@@ -42,7 +42,8 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Config {
     /// Id of this instance and of its current run.
-    pub me: Instance,
+    #[serde(rename = "me")]
+    pub id: Instance,
     /// Failure domain of this instance.
     pub domain: String,
     /// All failure domains; the list must be the same at every instance. Keys
@@ -68,7 +69,7 @@
     pub snapshot_records: u64,
     /// Longest time between snapshots, in milliseconds.
     pub snapshot_ms: u64,
-    /// Maximum number of calls in flight.
+    /// Maximum number of calls in attempt.
     pub calls: usize,
     /// Maximum number of open steps.
     pub steps: usize,
@@ -102,10 +103,10 @@
 impl Config {
     /// Creates a configuration with the default durations and limits.
     #[must_use]
-    pub fn new(me: Instance, domain: &str, domains: &[&str]) -> Config {
+    pub fn new(id: Instance, domain: &str, domains: &[&str]) -> Config {
         Config {
-            seed: me.incarnation,
-            me,
+            seed: id.incarnation,
+            id,
             domain: domain.to_owned(),
             domains: domains.iter().map(|name| (*name).to_owned()).collect(),
             ownership: owner::Config::default(),
@@ -154,7 +155,7 @@
 
 /// An attempt at a target.
 #[derive(Clone, Debug)]
-struct Flight {
+struct Attempt {
     target: String,
     purpose: Purpose,
 }
@@ -229,7 +230,7 @@
     activated_order: u64,
     pending_copies: BTreeMap<String, PendingCopy>,
     pending: BTreeMap<Request, Pending>,
-    flights: BTreeMap<Dispatch, Flight>,
+    attempts: BTreeMap<Dispatch, Attempt>,
     last_dispatch: u64,
     budget: Budget,
     steps: Steps,
@@ -258,7 +259,7 @@
             log_read: false,
             snapshot_at: Time(0),
             snapshot_tried_at: Time(0),
-            owner: owner::State::new(config.me.clone(), config.ownership),
+            owner: owner::State::new(config.id.clone(), config.ownership),
             desired: (BTreeSet::new(), Time(0)),
             proposed_at: None,
             claims: Claims::default(),
@@ -267,7 +268,7 @@
             activated_order: 0,
             pending_copies: BTreeMap::new(),
             pending: BTreeMap::new(),
-            flights: BTreeMap::new(),
+            attempts: BTreeMap::new(),
             last_dispatch: 0,
             budget: Budget::default(),
             steps: Steps::default(),
@@ -298,7 +299,7 @@
         }
         match event {
             Event::Tick => self.on_tick(),
-            Event::Listed(list) => self.members.take_list(list.clone(), &self.config.me.name),
+            Event::Listed(list) => self.members.update(list.clone(), &self.config.id.name),
             Event::LogRead { sent, first, records, at_end } => {
                 self.on_log(*sent, *first, records, *at_end);
             }
@@ -313,7 +314,7 @@
             }
             Event::CallerGone { request } => self.on_caller_disconnected(*request),
             Event::Loaded { target, load } => self.on_load(target, load.as_ref()),
-            Event::Version { trainer, version } => self.steps.note_version(trainer, *version),
+            Event::Version { trainer, version } => self.steps.record_version(trainer, *version),
             Event::StepOpened { request, opening } => self.on_step_opened(*request, opening),
             Event::SampleEnded { dispatch, end } => self.on_sample_ended(*dispatch, end),
             Event::Edit { request, edit } => self.on_edit(*request, edit),
--- a/crates/hollywell/src/core/reducer/peers.rs
+++ b/crates/hollywell/src/core/reducer/peers.rs
@@ -49,7 +49,7 @@
             }
             Message::Echo { sent, epoch, reading, next, draining } => {
                 self.on_echo(from, *sent, *epoch, reading.as_ref(), *draining);
-                self.note_offset(from, *next);
+                self.record_offset(from, *next);
             }
             Message::Claim { epoch, key, digest } => self.on_claim(from, *epoch, key, *digest),
             Message::Claimed { epoch, key } => self.on_claimed(from, *epoch, key),
@@ -69,7 +69,7 @@
         for name in leaving {
             self.members.mark_leaving(name);
         }
-        self.note_offset(from, next);
+        self.record_offset(from, next);
         let echo = Message::Echo {
             sent,
             epoch: self.owner.map().epoch,
@@ -118,7 +118,7 @@
         }
     }
 
-    fn note_offset(&mut self, from: &Instance, next: u64) {
+    fn record_offset(&mut self, from: &Instance, next: u64) {
         if let Some(peer) = self.members.peers.get_mut(&from.name) {
             peer.next = next;
         }
--- a/crates/hollywell/src/core/reducer/samples.rs
+++ b/crates/hollywell/src/core/reducer/samples.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeSet;
 
-use super::{Flight, Purpose, State, calls::relative_load};
+use super::{Attempt, Purpose, State, calls::relative_load};
 use crate::{
     core::{
         effect::{Counted, Effect},
@@ -19,17 +19,17 @@
 
 impl State {
     pub(super) fn on_load(&mut self, target: &str, load: Option<&member::Load>) {
-        let Some(known) = self.members.targets.get_mut(target) else {
+        let Some(engine) = self.members.targets.get_mut(target) else {
             return;
         };
         let Some(load) = load else {
-            known.load = None;
+            engine.load = None;
             return;
         };
-        known.breaker.succeed();
-        known.load = Some(load.clone());
+        engine.breaker.succeed();
+        engine.load = Some(load.clone());
         if load.leaving {
-            known.leaving = true;
+            engine.leaving = true;
         }
         self.forget_order(target);
     }
@@ -40,7 +40,7 @@
             self.emit(Effect::EndStep { request, missing, reason: Some(kind) });
             return;
         }
-        self.steps.note_version(&opening.trainer, opening.version);
+        self.steps.record_version(&opening.trainer, opening.version);
         self.steps.open.insert(request, Step::new(opening.clone(), self.now));
         self.end_if_done(request);
     }
@@ -77,12 +77,12 @@
             return;
         }
         let steps = self.steps.open.iter();
-        let late: Vec<(Request, Slot)> = steps
+        let stragglers: Vec<(Request, Slot)> = steps
             .filter_map(|(request, step)| {
                 step.straggler(self.now, budget_percent).map(|slot| (*request, slot))
             })
             .collect();
-        for (request, slot) in late {
+        for (request, slot) in stragglers {
             if self.start_sample(request, slot) {
                 self.count(Counted::Hedge);
             }
@@ -120,10 +120,10 @@
         let address = engine.listed.address.clone();
         if let Some(step) = self.steps.open.get_mut(&request) {
             step.start(slot, dispatch, self.now);
-            step.placed(slot.group, &target);
+            step.record_engine(slot.group, &target);
         }
         let purpose = Purpose::Sample { request, slot };
-        self.flights.insert(dispatch, Flight { target, purpose });
+        self.attempts.insert(dispatch, Attempt { target, purpose });
         let priority = row.priority;
         self.emit(Effect::Generate { request, dispatch, slot, address, priority, deadline });
         true
@@ -148,8 +148,8 @@
     }
 
     fn engines_of(&self, dispatches: &[Dispatch]) -> Vec<String> {
-        let flights = dispatches.iter().filter_map(|dispatch| self.flights.get(dispatch));
-        flights.map(|flight| flight.target.clone()).collect()
+        let attempts = dispatches.iter().filter_map(|dispatch| self.attempts.get(dispatch));
+        attempts.map(|attempt| attempt.target.clone()).collect()
     }
 
     /// Chooses an engine with capacity that serves an acceptable version and
@@ -180,18 +180,18 @@
     }
 
     pub(super) fn on_sample_ended(&mut self, dispatch: Dispatch, end: &End) {
-        let Some(flight) = self.flights.remove(&dispatch) else {
+        let Some(attempt) = self.attempts.remove(&dispatch) else {
             self.emit(Effect::Forget { dispatch });
             return;
         };
-        if let Some(engine) = self.members.targets.get_mut(&flight.target) {
+        if let Some(engine) = self.members.targets.get_mut(&attempt.target) {
             engine.samples = engine.samples.saturating_sub(1);
             match end {
                 End::Whole(_) => engine.breaker.succeed(),
                 End::Broken | End::Refused => engine.breaker.fail(self.now),
             }
         }
-        let Purpose::Sample { request, slot } = flight.purpose else {
+        let Purpose::Sample { request, slot } = attempt.purpose else {
             return;
         };
         self.judge_sample(request, slot, dispatch, end);
@@ -209,7 +209,7 @@
         };
         if let End::Whole(versions) = end {
             for version in versions {
-                self.steps.note_version(&row.trainer, *version);
+                self.steps.record_version(&row.trainer, *version);
             }
         }
         let oldest = self.steps.oldest(&row);
@@ -224,7 +224,7 @@
                 for other in others {
                     self.cancel_sample(other);
                     if let Some(step) = self.steps.open.get_mut(&request) {
-                        step.cancelled();
+                        step.record_cancel();
                     }
                 }
                 Counted::SampleDelivered
@@ -275,11 +275,11 @@
     }
 
     fn cancel_samples(&mut self, request: Request) {
-        let of_step = |flight: &Flight| matches!(flight.purpose, Purpose::Sample { request: owner, .. } if owner == request);
+        let of_step = |attempt: &Attempt| matches!(attempt.purpose, Purpose::Sample { request: owner, .. } if owner == request);
         let running: Vec<Dispatch> = self
-            .flights
+            .attempts
             .iter()
-            .filter(|(_, flight)| of_step(flight))
+            .filter(|(_, attempt)| of_step(attempt))
             .map(|(dispatch, _)| *dispatch)
             .collect();
         for dispatch in running {
@@ -290,10 +290,10 @@
     /// Cancels an attempt whose result is no longer needed. It is forgotten at
     /// once, because its end says nothing about the health of its engine.
     fn cancel_sample(&mut self, dispatch: Dispatch) {
-        let Some(flight) = self.flights.remove(&dispatch) else {
+        let Some(attempt) = self.attempts.remove(&dispatch) else {
             return;
         };
-        if let Some(engine) = self.members.targets.get_mut(&flight.target) {
+        if let Some(engine) = self.members.targets.get_mut(&attempt.target) {
             engine.samples = engine.samples.saturating_sub(1);
         }
         self.emit(Effect::Cancel { dispatch });
@@ -394,14 +394,14 @@
         f64::from(slots * (100 - self.reserve_percent.min(100))) / 100.0
     }
 
-    /// Maximum number of samples in flight at one engine with `slots` slots.
+    /// Maximum number of samples in attempt at one engine with `slots` slots.
     /// It is rounded up: an excess at one engine is compensated at others,
     /// because the total is bounded.
     fn per_engine(&self, slots: u32) -> u32 {
         (self.usable(slots) * self.share).ceil() as u32
     }
 
-    /// Maximum number of samples in flight at all engines, with `slots` slots
+    /// Maximum number of samples in attempt at all engines, with `slots` slots
     /// together. It is at least one, so that every step makes progress.
     fn total(&self, slots: u32) -> u32 {
         ((self.usable(slots) * self.share) as u32).max(1)
--- a/crates/hollywell/src/core/reducer/stop.rs
+++ b/crates/hollywell/src/core/reducer/stop.rs
@@ -1,5 +1,5 @@
 //! Graceful shutdown: an instance that is asked to stop accepts no new work,
-//! finishes what is in flight, hands over its keys, and then exits.
+//! finishes what is in attempt, hands over its keys, and then exits.
 
 use super::State;
 use crate::core::{effect::Effect, member::Peer};
@@ -14,11 +14,11 @@
         let Some(since) = self.draining else {
             return;
         };
-        let idle = self.in_flight() == 0 && self.flights.is_empty();
-        self.idle_ticks = if idle { self.idle_ticks + 1 } else { 0 };
+        let is_finished = self.in_flight() == 0 && self.attempts.is_empty();
+        self.idle_ticks = if is_finished { self.idle_ticks + 1 } else { 0 };
         let waited = self.now.since(since) >= self.config.resign_ms;
-        let quiet = self.idle_ticks > IDLE_TICKS;
-        if quiet && !self.exited && (self.has_handed_over() || waited) {
+        let is_idle = self.idle_ticks > IDLE_TICKS;
+        if is_idle && !self.exited && (self.has_handed_over() || waited) {
             self.exited = true;
             self.emit(Effect::Exit);
         }
--- a/crates/hollywell/src/core/rollout.rs
+++ b/crates/hollywell/src/core/rollout.rs
@@ -120,7 +120,7 @@
     /// The engine to which each group's last sample was sent.
     engines: BTreeMap<u32, String>,
     /// Number of delivered samples, and their total duration in milliseconds.
-    took: (u64, u64),
+    durations: (u64, u64),
 }
 
 impl Step {
@@ -145,7 +145,7 @@
             running: 0,
             hedges: 0,
             engines: BTreeMap::new(),
-            took: (0, 0),
+            durations: (0, 0),
         }
     }
 
@@ -181,7 +181,7 @@
     #[must_use]
     pub fn straggler(&self, now: Time, budget_percent: u32) -> Option<Slot> {
         let budget = (self.slots.len() * budget_percent as usize).div_ceil(100);
-        let (count, took_ms) = self.took;
+        let (count, took_ms) = self.durations;
         if !self.waiting.is_empty() || self.hedges as usize >= budget || count == 0 {
             return None;
         }
@@ -219,12 +219,12 @@
     }
 
     /// Records the engine to which a sample of a group was sent.
-    pub fn placed(&mut self, group: u32, engine: &str) {
+    pub fn record_engine(&mut self, group: u32, engine: &str) {
         self.engines.insert(group, engine.to_owned());
     }
 
     /// Records that an attempt was cancelled.
-    pub fn cancelled(&mut self) {
+    pub fn record_cancel(&mut self) {
         self.running = self.running.saturating_sub(1);
     }
 
@@ -271,7 +271,7 @@
                 *progress = Progress::Delivered;
                 self.missing -= 1;
                 let took_ms = ended.map_or(0, |attempt| now.since(attempt.since));
-                self.took = (self.took.0 + 1, self.took.1 + took_ms);
+                self.durations = (self.durations.0 + 1, self.durations.1 + took_ms);
             }
             _ if others_run => {}
             _ => {
@@ -312,7 +312,7 @@
 impl Steps {
     /// Records that a version of a trainer exists. Older versions have no
     /// effect.
-    pub fn note_version(&mut self, trainer: &str, version: u64) {
+    pub fn record_version(&mut self, trainer: &str, version: u64) {
         let newest = self.newest.entry(trainer.to_owned()).or_default();
         *newest = version.max(*newest);
     }
--- a/crates/hollywell/src/core/store_lease.rs
+++ b/crates/hollywell/src/core/store_lease.rs
@@ -77,7 +77,7 @@
     /// End of the partition as last read, where the next read starts.
     pub end: u64,
     /// Whether the partition was read to its end.
-    known: bool,
+    is_read: bool,
     last: Option<(Claim, Time)>,
     fence: Option<u64>,
     held_until: Time,
@@ -91,7 +91,7 @@
 
 impl StoreLease {
     /// Records a claim that was read from the partition.
-    pub fn read(&mut self, local: &str, now: Time, offset: u64, claim: &Claim) {
+    pub fn observe(&mut self, local: &str, now: Time, offset: u64, claim: &Claim) {
         self.end = self.end.max(offset + 1);
         let is_renewal =
             claim.holder == local && claim.renews.is_some() && claim.renews == self.fence;
@@ -103,9 +103,9 @@
     }
 
     /// Records that the partition was read to its end.
-    pub fn read_to(&mut self, end: u64) {
+    pub fn observe_end(&mut self, end: u64) {
         self.end = self.end.max(end);
-        self.known = true;
+        self.is_read = true;
     }
 
     /// Returns true if this instance holds the lease, as far as it knows.
@@ -152,7 +152,7 @@
         rank: u64,
         orders: bool,
     ) -> Option<Claim> {
-        if !self.known {
+        if !self.is_read {
             return None;
         }
         let last_order = match self.fence {
@@ -190,7 +190,7 @@
     }
 
     /// Records that a claim that was sent at `sent` was accepted at `offset`.
-    pub fn granted(&mut self, sent: Time, offset: u64, claim: &Claim, timing: Timing) {
+    pub fn record_grant(&mut self, sent: Time, offset: u64, claim: &Claim, timing: Timing) {
         self.end = self.end.max(offset + 1);
         if claim.renews.is_none() {
             self.others_at = self.others_order(&claim.holder, timing);
@@ -211,7 +211,7 @@
     }
 
     /// Records that an order is given.
-    pub fn ordered(&mut self, now: Time) {
+    pub fn record_order(&mut self, now: Time) {
         self.ordered_at = Some(now);
     }
 
--- a/crates/hollywell/src/core/timeout.rs
+++ b/crates/hollywell/src/core/timeout.rs
@@ -48,16 +48,16 @@
 /// use hollywell::core::timeout::Timeout;
 ///
 /// let mut timeout = Timeout::default();
-/// timeout.answered(5);
-/// assert_eq!(timeout.limit_ms(), 800);
+/// timeout.record_answer(5);
+/// assert_eq!(timeout.current_ms(), 800);
 /// // One timeout may be a lost connection, several in a row are a busy store.
 /// // Concurrent calls that time out together count once.
-/// timeout.timed_out(800);
-/// timeout.timed_out(800);
-/// assert_eq!(timeout.limit_ms(), 1_600);
+/// timeout.record_timeout(800);
+/// timeout.record_timeout(800);
+/// assert_eq!(timeout.current_ms(), 1_600);
 /// // After slow answers, the timeout is longer.
-/// timeout.answered(1_500);
-/// assert!(timeout.limit_ms() > 1_500);
+/// timeout.record_answer(1_500);
+/// assert!(timeout.current_ms() > 1_500);
 /// ```
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Timeout {
@@ -69,7 +69,7 @@
 impl Timeout {
     /// Returns the current timeout, in milliseconds.
     #[must_use]
-    pub fn limit_ms(&self) -> u64 {
+    pub fn current_ms(&self) -> u64 {
         let estimate = self.mean_ms.unwrap_or_default() + VARIATIONS * self.variation_ms;
         let doubled = f64::from(1_u32 << self.timeouts.min(MAX_DOUBLINGS));
         (estimate.max(MIN_TIMEOUT_MS) * doubled).min(MAX_TIMEOUT_MS) as u64
@@ -77,7 +77,7 @@
 
     /// Records the response time of a call, without the time that the call
     /// asked the store to wait.
-    pub fn answered(&mut self, took_ms: u64) {
+    pub fn record_answer(&mut self, took_ms: u64) {
         let took = took_ms as f64;
         self.timeouts = 0;
         let Some(mean) = self.mean_ms else {
@@ -94,8 +94,8 @@
     /// out together count once. When each of them counted, a network cut of a
     /// few seconds left the timeout at its maximum, and reads that were lost
     /// in the cut hung for six seconds after it.
-    pub fn timed_out(&mut self, limit_ms: u64) {
-        if limit_ms >= self.limit_ms() {
+    pub fn record_timeout(&mut self, limit_ms: u64) {
+        if limit_ms >= self.current_ms() {
             self.timeouts += 1;
         }
     }
@@ -103,7 +103,7 @@
     /// Records that the store answers no call of this instance. Time-outs are
     /// then caused by an outage and not by load, and the timeout must be short
     /// again so that the recovery is noticed soon.
-    pub fn unavailable(&mut self) {
+    pub fn record_outage(&mut self) {
         self.timeouts = 0;
     }
 }
--- a/crates/hollywell/src/core/usage.rs
+++ b/crates/hollywell/src/core/usage.rs
@@ -43,8 +43,8 @@
 
 /// An instance's counts in one window so far.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
-struct Piece {
-    /// Increases with each piece that an instance stores.
+struct InstanceCounts {
+    /// Sequence number of this record among those of the instance.
     #[prost(uint64, tag = "1")]
     number: u64,
     #[prost(btree_map = "string, uint64", tag = "2")]
@@ -63,9 +63,9 @@
 /// tally.begin(7, "survey");
 /// // The target reports that it did not run the request.
 /// tally.undo(7, "survey");
-/// assert_eq!(tally.take("a1").len(), 1);
+/// assert_eq!(tally.take_changed("a1").len(), 1);
 /// // Nothing has changed since.
-/// assert!(tally.take("a1").is_empty());
+/// assert!(tally.take_changed("a1").is_empty());
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct Tally {
@@ -102,7 +102,7 @@
 
     /// Returns the records to store for all windows whose counts changed.
     /// `writer` names this run of the instance.
-    pub fn take(&mut self, writer: &str) -> Vec<(String, Bytes)> {
+    pub fn take_changed(&mut self, writer: &str) -> Vec<(String, Bytes)> {
         let changed = std::mem::take(&mut self.changed);
         let mut records = Vec::new();
         for window in changed {
@@ -110,35 +110,35 @@
                 continue;
             };
             self.number += 1;
-            let piece = Piece { number: self.number, counts: counts.clone() };
-            records.push((piece_key(window, writer), piece.encode_to_vec().into()));
+            let counts = InstanceCounts { number: self.number, counts: counts.clone() };
+            records.push((counts_key(window, writer), counts.encode_to_vec().into()));
         }
         records
     }
 
     /// Marks the windows of these records as changed again, because the store
     /// did not accept them.
-    pub fn put_back(&mut self, records: &[(String, Bytes)]) {
-        let windows = records.iter().filter_map(|(key, _)| Some(parse_piece(key)?.0));
+    pub fn mark_unsaved(&mut self, records: &[(String, Bytes)]) {
+        let windows = records.iter().filter_map(|(key, _)| Some(parse_counts_key(key)?.0));
         self.changed.extend(windows);
     }
 }
 
-/// Returns the key of a piece.
-fn piece_key(window: u64, writer: &str) -> String {
+/// Returns the key of the record of an instance's counts in a window.
+fn counts_key(window: u64, writer: &str) -> String {
     format!("{window}|{writer}")
 }
 
-/// Returns the key of a piece that `peer` stores on behalf of another
-/// instance. It differs from the piece's own key, so that it cannot replace a
-/// newer piece.
+/// Returns the key under which `peer` stores counts on behalf of another
+/// instance. It differs from that instance's own `key`, so that it cannot
+/// replace newer counts.
 #[must_use]
 pub fn forwarded_key(key: &str, peer: &str) -> String {
     format!("{key}|{peer}")
 }
 
-/// Returns a piece's window and the instance that counted it.
-fn parse_piece(key: &str) -> Option<(u64, &str)> {
+/// Returns the window and the writer from the key of an instance's counts.
+fn parse_counts_key(key: &str) -> Option<(u64, &str)> {
     let mut parts = key.split('|');
     let window = parts.next()?.parse().ok()?;
     Some((window, parts.next().filter(|writer| !writer.is_empty())?))
@@ -202,26 +202,26 @@
 /// The usage records in the store, for all windows.
 #[derive(Clone, Debug, Default)]
 pub struct Ledger {
-    /// The newest piece of each window and instance.
-    pieces: BTreeMap<u64, BTreeMap<String, Piece>>,
+    /// The newest counts by window and instance.
+    counts: BTreeMap<u64, BTreeMap<String, InstanceCounts>>,
     decided: BTreeMap<u64, Bytes>,
     reported: Option<u64>,
 }
 
 impl Ledger {
-    /// Folds the record of a piece.
+    /// Folds the record of an instance's counts.
     ///
     /// # Errors
     ///
     /// Returns an error if the record is malformed; it is then ignored.
-    pub fn piece(&mut self, key: &str, value: &[u8]) -> Result<(), Malformed> {
-        let malformed = |why: &dyn fmt::Display| Malformed(format!("piece {key:?}: {why}"));
-        let (window, writer) = parse_piece(key).ok_or_else(|| malformed(&"no such key"))?;
-        let piece = Piece::decode(value).map_err(|error| malformed(&error))?;
-        let pieces = self.pieces.entry(window).or_default();
-        let newest = pieces.get(writer).is_none_or(|known| known.number < piece.number);
-        if newest {
-            pieces.insert(writer.to_owned(), piece);
+    pub fn add_counts(&mut self, key: &str, value: &[u8]) -> Result<(), Malformed> {
+        let malformed = |why: &dyn fmt::Display| Malformed(format!("usage counts {key:?}: {why}"));
+        let (window, writer) = parse_counts_key(key).ok_or_else(|| malformed(&"invalid key"))?;
+        let record = InstanceCounts::decode(value).map_err(|error| malformed(&error))?;
+        let counts = self.counts.entry(window).or_default();
+        let is_newest = counts.get(writer).is_none_or(|known| known.number < record.number);
+        if is_newest {
+            counts.insert(writer.to_owned(), record);
         }
         Ok(())
     }
@@ -231,8 +231,8 @@
     /// # Errors
     ///
     /// Returns an error if the record is malformed; it is then ignored.
-    pub fn duty(&mut self, key: &str, value: &Bytes) -> Result<(), Malformed> {
-        let malformed = || Malformed(format!("record {key:?} of usage cannot be read"));
+    pub fn add_record(&mut self, key: &str, value: &Bytes) -> Result<(), Malformed> {
+        let malformed = || Malformed(format!("usage record {key:?} is malformed"));
         if key == REPORTED {
             let text = std::str::from_utf8(value).map_err(|_| malformed())?;
             let window: u64 = text.parse().map_err(|_| malformed())?;
@@ -250,12 +250,12 @@
         self.reported
     }
 
-    /// Returns true if `key` is that of a piece that is no longer needed,
-    /// because its window was reported.
+    /// Returns true if `key` is that of counts that are no longer needed,
+    /// because their window was reported.
     #[must_use]
     pub fn is_obsolete(&self, key: &str) -> bool {
         let reported = self.reported;
-        parse_piece(key).is_none_or(|(window, _)| reported.is_some_and(|last| window <= last))
+        parse_counts_key(key).is_none_or(|(window, _)| reported.is_some_and(|last| window <= last))
     }
 
     /// Returns the next action at `now_ms`, in milliseconds since the Unix
@@ -279,7 +279,7 @@
         if let Some((window, report)) = open {
             return Next::Report(*window, report.clone());
         }
-        let first = self.pieces.keys().next().copied().unwrap_or(from).min(from);
+        let first = self.counts.keys().next().copied().unwrap_or(from).min(from);
         let next = self.reported.map_or(first, |last| last + 1);
         let window = next.max(schedule.window(now_ms).saturating_sub(MAX_BACKLOG));
         let settled_ms = schedule.settled_ms(window);
@@ -291,8 +291,8 @@
 
     fn sum(&self, window: u64) -> Counts {
         let mut sum = Counts::new();
-        for piece in self.pieces.get(&window).into_iter().flat_map(BTreeMap::values) {
-            for (organisation, count) in piece.counts.iter().filter(|(_, count)| **count > 0) {
+        for record in self.counts.get(&window).into_iter().flat_map(BTreeMap::values) {
+            for (organisation, count) in record.counts.iter().filter(|(_, count)| **count > 0) {
                 let total = sum.entry(organisation.clone()).or_default();
                 *total = total.saturating_add(*count);
             }
--- a/crates/hollywell/src/entry/caller.rs
+++ b/crates/hollywell/src/entry/caller.rs
@@ -66,11 +66,13 @@
     headers: &HeaderMap,
 ) -> Result<&'a Organisation, Kind> {
     let values = headers.get_all(header::AUTHORIZATION);
-    directory.caller(values.iter().map(http::HeaderValue::as_bytes)).map_err(|why: AuthError| {
-        shared.meters.unauthenticated.with_label_values(&[why.as_str()]).inc();
-        log::info!("a caller is not known: {}", why.as_str());
-        Kind::UnknownCaller
-    })
+    directory.authenticate(values.iter().map(http::HeaderValue::as_bytes)).map_err(
+        |why: AuthError| {
+            shared.meters.unauthenticated.with_label_values(&[why.as_str()]).inc();
+            log::info!("a caller is not known: {}", why.as_str());
+            Kind::UnknownCaller
+        },
+    )
 }
 
 /// The route of a request, and who may use it.
--- a/crates/hollywell/src/entry/capacity.rs
+++ b/crates/hollywell/src/entry/capacity.rs
@@ -53,7 +53,7 @@
     let control = shared.control.borrow();
     let jobs = control.partitions.iter().flat_map(|partition| partition.index.jobs.values());
     let (tokens, bytes) =
-        jobs.map(Job::sizes).fold((0, 0), |sum, sizes| (sum.0 + sizes.0, sum.1 + sizes.1));
+        jobs.map(Job::finished_sizes).fold((0, 0), |sum, sizes| (sum.0 + sizes.0, sum.1 + sizes.1));
     if tokens == 0 { BYTES_PER_TOKEN } else { bytes as f64 / tokens as f64 }
 }
 
@@ -71,7 +71,7 @@
     let others: u64 = control.other_logs.values().map(|log| log.bytes(0)).sum();
     let jobs = || control.partitions.iter().flat_map(|partition| partition.index.jobs.values());
     let live = jobs().map(Job::bytes).sum();
-    let tokens: u64 = jobs().map(Job::tokens_to_come).sum();
+    let tokens: u64 = jobs().map(Job::remaining_tokens).sum();
     let samples = jobs().filter(|job| !job.ended).map(|job| job.done.len() - job.results.len());
     let outcomes = samples.sum::<usize>() as u64 * OUTCOME_BYTES;
     let max_log_bytes = control.capacity.log_most(2 * control.partitions.len());
--- a/crates/hollywell/src/entry/duties.rs
+++ b/crates/hollywell/src/entry/duties.rs
@@ -202,11 +202,11 @@
     let mut skipped = Vec::new();
     for record in &decided.records {
         let value = record.value.clone().unwrap_or_default();
-        skipped.extend(ledger.duty(&record.key, &value).err());
+        skipped.extend(ledger.add_record(&record.key, &value).err());
     }
     for record in &pieces.records {
         let value = record.value.clone().unwrap_or_default();
-        skipped.extend(ledger.piece(&record.key, &value).err());
+        skipped.extend(ledger.add_counts(&record.key, &value).err());
     }
     for error in skipped {
         shared.meters.usage_skipped.inc();
--- a/crates/hollywell/src/entry/ingress.rs
+++ b/crates/hollywell/src/entry/ingress.rs
@@ -336,7 +336,7 @@
     };
     if *caller != Caller::Unrestricted {
         let own = [header::AUTHORIZATION.as_str(), shared.codec.headers.organisation.as_str()];
-        decoded.drop_headers(&own);
+        decoded.remove_headers(&own);
     }
     let done = jobs::submit(shared, caller, id, host, path, &decoded).await;
     let accepted = done == JobReply::Done;
--- a/crates/hollywell/src/entry/lease.rs
+++ b/crates/hollywell/src/entry/lease.rs
@@ -79,7 +79,7 @@
 
     /// Notes that a call goes out under the fencing number.
     pub(super) fn record_use(&self, shared: &Shared) {
-        self.state.borrow_mut().ordered(shared.now());
+        self.state.borrow_mut().record_order(shared.now());
     }
 
     /// Gives the lease up, if it is held.
@@ -129,12 +129,12 @@
                     let value = record.value.clone().unwrap_or_default();
                     match serde_json::from_slice::<Claim>(&value) {
                         Ok(claim) => {
-                            state.read(&shared.instance_id, shared.now(), record.offset, &claim)
+                            state.observe(&shared.instance_id, shared.now(), record.offset, &claim)
                         }
                         Err(error) => log::warn!("claim at {} skipped: {error}", record.offset),
                     }
                 }
-                state.read_to(records.end);
+                state.observe_end(records.end);
             }
             Err(StoreError::Trimmed(first)) => self.state.borrow_mut().end = first,
             Err(fault) => {
@@ -172,7 +172,7 @@
                 if claim.renews.is_none() {
                     log::info!("lease of {} granted, fence {}", self.subject, appended.offset);
                 }
-                self.state.borrow_mut().granted(sent, appended.offset, &claim, self.terms);
+                self.state.borrow_mut().record_grant(sent, appended.offset, &claim, self.terms);
             }
             Err(StoreError::EndMismatch(_)) => {
                 // Whose claim came first, or whether it was one of this
--- a/crates/hollywell/src/entry/reader.rs
+++ b/crates/hollywell/src/entry/reader.rs
@@ -59,7 +59,7 @@
     pub fn set_store_unavailable(&self, unavailable: bool) {
         self.store_unavailable.set(unavailable);
         if unavailable {
-            self.timeout.borrow_mut().unavailable();
+            self.timeout.borrow_mut().record_outage();
         }
     }
 
@@ -139,7 +139,7 @@
         wait: Duration,
         call: impl FnOnce(Duration) -> crate::entry::store::LocalFuture<Result<T, StoreError>>,
     ) -> Result<T, StoreError> {
-        let limit_ms = self.timeout.borrow().limit_ms();
+        let limit_ms = self.timeout.borrow().current_ms();
         let started = Instant::now();
         let answer = call(Duration::from_millis(limit_ms)).await;
         let took = started.elapsed();
@@ -149,9 +149,11 @@
             // long it took beyond that is not known.
             Ok(_) if took >= wait => {
                 let beyond = took.saturating_sub(wait).as_millis();
-                timeout.answered(u64::try_from(beyond).unwrap_or(u64::MAX));
+                timeout.record_answer(u64::try_from(beyond).unwrap_or(u64::MAX));
+            }
+            Err(StoreError::TimedOut) if !self.store_unavailable.get() => {
+                timeout.record_timeout(limit_ms)
             }
-            Err(StoreError::TimedOut) if !self.store_unavailable.get() => timeout.timed_out(limit_ms),
             _ => {}
         }
         answer
--- a/crates/hollywell/src/entry/resume.rs
+++ b/crates/hollywell/src/entry/resume.rs
@@ -17,7 +17,12 @@
 
 /// The samples of a job that is opened, as they are run. Unfinished texts of
 /// earlier steps are handed to the job; old ones are dropped.
-pub fn items(partitions: &mut [JobPartition], part: usize, job: &str, head: &Manifest) -> Vec<Item> {
+pub fn items(
+    partitions: &mut [JobPartition],
+    part: usize,
+    job: &str,
+    head: &Manifest,
+) -> Vec<Item> {
     forget(partitions, head);
     let mut items = Vec::new();
     for (at, sample) in head.samples.iter().enumerate() {
--- a/crates/hollywell/src/entry/usage.rs
+++ b/crates/hollywell/src/entry/usage.rs
@@ -99,7 +99,7 @@
         shared.usage.changed.notified().await;
         let members = shared.control.borrow().roster.members().len() as f64;
         sleep(GATHER.mul_f64((members / GATHER_INSTANCES).max(1.0))).await;
-        let own = shared.usage.tally.borrow_mut().take(&shared.writer_id);
+        let own = shared.usage.tally.borrow_mut().take_changed(&shared.writer_id);
         let peer_counts = std::mem::take(&mut *shared.usage.peer_counts.borrow_mut());
         if own.is_empty() && peer_counts.is_empty() {
             continue;
@@ -116,7 +116,7 @@
             if !failed_before {
                 hand_to_peers(&shared, &own);
             }
-            shared.usage.tally.borrow_mut().put_back(&own);
+            shared.usage.tally.borrow_mut().mark_unsaved(&own);
             shared.usage.peer_counts.borrow_mut().extend(peer_counts);
             sleep(MAX_RETRY.mul_f64(rand::random_range(0.0..=1.0))).await;
             shared.usage.changed.notify_one();
--- a/crates/hollywell/src/serve.rs
+++ b/crates/hollywell/src/serve.rs
@@ -54,7 +54,7 @@
     let (stop, stopping) = watch::channel(false);
     log::info!(
         "{} listens on {} and for peers on {}",
-        settings.config.me,
+        settings.config.id,
         listener.local_addr()?,
         peer_listener.local_addr()?
     );
--- a/crates/hollywell/tests/batch.rs
+++ b/crates/hollywell/tests/batch.rs
@@ -29,8 +29,8 @@
 }
 
 fn submitted(samples: usize) -> Vec<(String, Bytes)> {
-    let (briefs, _) = bundle(&submission(samples), 4_096);
-    vec![manifest_record("j", &Manifest { samples: briefs, ..Manifest::default() })]
+    let (metas, _) = bundle(&submission(samples), 4_096);
+    vec![manifest_record("j", &Manifest { samples: metas, ..Manifest::default() })]
 }
 
 fn partial() -> Partial {
@@ -66,15 +66,15 @@
 }
 
 fn fold(records: &[Record]) -> Index {
-    let mut book = Index::default();
+    let mut index = Index::default();
     for record in records {
-        book.apply(record).unwrap();
+        index.apply(record).unwrap();
     }
-    book
+    index
 }
 
-fn listed(book: &Index) -> Vec<Bytes> {
-    book.jobs["j"].results.iter().map(|listed| listed.value.clone()).collect()
+fn listed(index: &Index) -> Vec<Bytes> {
+    index.jobs["j"].results.iter().map(|listed| listed.value.clone()).collect()
 }
 
 /// What is left after a compaction: the newest record of each key, by offset.
@@ -189,8 +189,8 @@
     let mut records = submitted(2);
     records.push(outcome_record("j", "a", &outcome(1, "first")));
     records.push(outcome_record("j", "b", &outcome(1, "second")));
-    let book = fold(&log(records));
-    let texts = listed(&book);
+    let index = fold(&log(records));
+    let texts = listed(&index);
     assert_eq!(texts.len(), 1);
     assert!(String::from_utf8_lossy(&texts[0]).contains("first"));
 }
@@ -203,11 +203,11 @@
         sample.group = String::from(if sample.id.as_str() < "s5" { "a" } else { "b" });
         sample.body = body.clone();
     }
-    let (briefs, bundles) = bundle(&submission, 3_500);
+    let (metas, bundles) = bundle(&submission, 3_500);
     assert!(bundles.iter().all(|bundle| bundle.encoded_len() <= 3_500));
     assert_eq!(bundles.len(), 3, "five of one group need two, three of the other one");
-    for (brief, sample) in briefs.iter().zip(&submission.samples) {
-        assert_eq!(bundles[brief.bundle as usize].samples[brief.at as usize], *sample);
+    for (meta, sample) in metas.iter().zip(&submission.samples) {
+        assert_eq!(bundles[meta.bundle as usize].samples[meta.at as usize], *sample);
     }
 }
 
@@ -216,8 +216,8 @@
     let mut records = vec![outcome_record("j", "a", &outcome(1, "first")), end_record("j")];
     records.extend(submitted(2));
     let records = log(records);
-    let mut book = fold(&records[..2]);
-    let changes = book.apply(&records[2]).unwrap();
+    let mut index = fold(&records[..2]);
+    let changes = index.apply(&records[2]).unwrap();
     let expected = [
         Change::Opened("j".into()),
         Change::ResultStored("j".into(), 1),
@@ -233,23 +233,23 @@
     records.push(end_record("j"));
     records.push(end_record("j"));
     let records = log(records);
-    let mut book = fold(&records[..2]);
-    assert_eq!(book.jobs["j"].partials.len(), 1);
-    assert_eq!(book.apply(&records[2]), Ok(vec![Change::Ended("j".into())]));
-    assert_eq!(book.apply(&records[3]), Ok(vec![]));
+    let mut index = fold(&records[..2]);
+    assert_eq!(index.jobs["j"].partials.len(), 1);
+    assert_eq!(index.apply(&records[2]), Ok(vec![Change::Ended("j".into())]));
+    assert_eq!(index.apply(&records[3]), Ok(vec![]));
     let late =
         Record { offset: 9, key: partial_record("j", "s1", &partial()).0, ..records[1].clone() };
-    assert_eq!(book.apply(&late), Ok(vec![]));
-    let kept: Vec<&usize> = book.jobs["j"].partials.keys().collect();
+    assert_eq!(index.apply(&late), Ok(vec![]));
+    let kept: Vec<&usize> = index.jobs["j"].partials.keys().collect();
     assert_eq!(kept, [&0]);
 }
 
 #[test]
 fn records_that_make_no_sense_are_skipped_with_their_key() {
-    let mut book = fold(&log(submitted(1)));
+    let mut index = fold(&log(submitted(1)));
     for key in ["j", "j|x", "j|r|a|nobody", "k|s", "j|p|nobody"] {
         let record = Record { offset: 9, key: key.into(), value: Some(Bytes::from_static(b"v")) };
-        assert_eq!(book.apply(&record).unwrap_err().key, key);
+        assert_eq!(index.apply(&record).unwrap_err().key, key);
     }
     assert!(!is_id("a|b") && !is_id("") && !is_id(&"x".repeat(101)) && is_id("7c41e09b"));
 }
--- a/crates/hollywell/tests/reader.rs
+++ b/crates/hollywell/tests/reader.rs
@@ -236,18 +236,18 @@
 #[test]
 fn the_silence_that_is_borne_follows_what_answers_take() {
     arbtest::arbtest(|u| {
-        let mut patience = Timeout::default();
+        let mut timeout = Timeout::default();
         let usual: u64 = u.int_in_range(1..=4_000)?;
         for _ in 0..40 {
             let took = usual + u.int_in_range(0..=usual / 10)?;
-            patience.answered(took);
+            timeout.record_answer(took);
         }
-        let limit = patience.limit_ms();
+        let limit = timeout.current_ms();
         assert!(limit > usual, "{limit} ms where answers take {usual}");
         assert!((800..=6_000).contains(&limit), "{limit}");
         for _ in 0..u.int_in_range(0..=50)? {
-            patience.timed_out(patience.limit_ms());
-            assert!(patience.limit_ms() <= 6_000);
+            timeout.record_timeout(timeout.current_ms());
+            assert!(timeout.current_ms() <= 6_000);
         }
         Ok(())
     });
--- a/crates/hollywell/tests/spare.rs
+++ b/crates/hollywell/tests/spare.rs
@@ -18,7 +18,7 @@
 /// A log and its fold.
 #[derive(Default)]
 struct World {
-    book: Index,
+    index: Index,
     end: u64,
 }
 
@@ -26,7 +26,7 @@
     /// With a job of two groups of two samples, a bundle each.
     fn new() -> World {
         let mut world = World::default();
-        let brief = |at: u32| SampleMeta {
+        let meta = |at: u32| SampleMeta {
             id: format!("s{at}"),
             group: format!("g{}", at / 2),
             tokens: 10,
@@ -36,7 +36,7 @@
         let bundles = ["b0", "b1"].map(|writer| text(&bundle_key("j", writer)));
         let head = Manifest {
             at_ms: 1_000,
-            samples: (0..4).map(brief).collect(),
+            samples: (0..4).map(meta).collect(),
             bundles: bundles.to_vec(),
             ..Manifest::default()
         };
@@ -46,7 +46,7 @@
 
     fn append(&mut self, (key, value): (String, Bytes)) {
         let value = (!value.is_empty()).then_some(value);
-        self.book.apply(&Record { offset: self.end, key, value }).unwrap();
+        self.index.apply(&Record { offset: self.end, key, value }).unwrap();
         self.end += 1;
     }
 
@@ -65,10 +65,10 @@
     }
 
     /// Takes what is due and drops it, as one instance does.
-    fn drop_due(&mut self, spare: &mut Garbage, now: u64) -> Keys {
-        spare.observe(&self.book.jobs["j"], Time(now));
-        let (keys, after) = spare.next("j", &self.book.jobs["j"], Time(now));
-        *spare = after;
+    fn drop_due(&mut self, garbage: &mut Garbage, now: u64) -> Keys {
+        garbage.observe(&self.index.jobs["j"], Time(now));
+        let (keys, after) = garbage.next("j", &self.index.jobs["j"], Time(now));
+        *garbage = after;
         for key in &keys.jobs {
             self.append((key.clone(), Bytes::new()));
         }
@@ -86,64 +86,64 @@
 
 #[test]
 fn requests_go_once_their_group_is_listed() {
-    let (mut world, mut spare) = (World::new(), Garbage::new(Time(0)));
+    let (mut world, mut garbage) = (World::new(), Garbage::new(Time(0)));
     world.list("w", 0);
-    assert!(world.drop_due(&mut spare, 0).is_empty(), "the other sample is to be run");
+    assert!(world.drop_due(&mut garbage, 0).is_empty(), "the other sample is to be run");
     world.list("w", 1);
-    assert_eq!(world.drop_due(&mut spare, 1).texts, [bundle_key("j", "b0")]);
-    assert!(world.drop_due(&mut spare, 2).is_empty(), "once");
+    assert_eq!(world.drop_due(&mut garbage, 1).texts, [bundle_key("j", "b0")]);
+    assert!(world.drop_due(&mut garbage, 2).is_empty(), "once");
     world.append(end_record("j"));
-    assert_eq!(world.drop_due(&mut spare, 3).texts, [bundle_key("j", "b1")]);
+    assert_eq!(world.drop_due(&mut garbage, 3).texts, [bundle_key("j", "b1")]);
 }
 
 #[test]
 fn pieces_of_an_unfinished_text_go_once_the_sample_is_listed_whoever_kept_them() {
-    let (mut world, mut spare) = (World::new(), Garbage::new(Time(0)));
+    let (mut world, mut garbage) = (World::new(), Garbage::new(Time(0)));
     world.keep(&["a.1"], 0);
     world.keep(&["a.1", "a.2"], 0);
     world.keep(&["b.1"], 0);
     world.keep(&["a.3"], 2);
-    assert!(world.drop_due(&mut spare, 0).is_empty());
+    assert!(world.drop_due(&mut garbage, 0).is_empty());
     world.list("a.4", 0);
-    let keys = world.drop_due(&mut spare, 1);
+    let keys = world.drop_due(&mut garbage, 1);
     assert_eq!(keys.texts, ["a.1", "a.2", "b.1"].map(|writer| piece(writer, 0)));
     assert_eq!(keys.jobs.len(), 1, "the note of them");
-    assert!(world.drop_due(&mut spare, 2).is_empty(), "once");
+    assert!(world.drop_due(&mut garbage, 2).is_empty(), "once");
     // One that was on its way.
     world.keep(&["b.1", "b.2"], 0);
-    assert_eq!(world.drop_due(&mut spare, 3).texts.len(), 2);
-    assert!(!world.book.jobs["j"].partials.contains_key(&0));
-    assert!(world.book.jobs["j"].partials.contains_key(&2), "the other sample goes on");
+    assert_eq!(world.drop_due(&mut garbage, 3).texts.len(), 2);
+    assert!(!world.index.jobs["j"].partials.contains_key(&0));
+    assert!(world.index.jobs["j"].partials.contains_key(&2), "the other sample goes on");
 }
 
 #[test]
 fn unfinished_texts_outlive_their_jobs_end_for_a_later_step_and_no_longer() {
-    let (mut world, mut spare) = (World::new(), Garbage::new(Time(0)));
+    let (mut world, mut garbage) = (World::new(), Garbage::new(Time(0)));
     world.keep(&["a.1"], 3);
     world.append(end_record("j"));
-    let keys = world.drop_due(&mut spare, 1_000);
+    let keys = world.drop_due(&mut garbage, 1_000);
     assert_eq!(keys.texts, ["b0", "b1"].map(|writer| bundle_key("j", writer)));
-    assert!(world.drop_due(&mut spare, 15_900).is_empty());
-    assert!(world.book.jobs["j"].partials.contains_key(&3));
-    assert_eq!(world.drop_due(&mut spare, 16_100).texts, [piece("a.1", 3)]);
-    assert!(!world.book.jobs["j"].partials.contains_key(&3), "nobody goes on with it");
+    assert!(world.drop_due(&mut garbage, 15_900).is_empty());
+    assert!(world.index.jobs["j"].partials.contains_key(&3));
+    assert_eq!(world.drop_due(&mut garbage, 16_100).texts, [piece("a.1", 3)]);
+    assert!(!world.index.jobs["j"].partials.contains_key(&3), "nobody goes on with it");
 }
 
 #[test]
 fn a_second_result_goes_and_the_first_stays() {
-    let (mut world, mut spare) = (World::new(), Garbage::new(Time(0)));
+    let (mut world, mut garbage) = (World::new(), Garbage::new(Time(0)));
     world.list("a", 0);
     world.list("b", 0);
-    let keys = world.drop_due(&mut spare, 0);
+    let keys = world.drop_due(&mut garbage, 0);
     assert_eq!(keys.texts, [text_key("j", "b", "s0")]);
     assert!(keys.jobs[0].contains("|r|b|"), "{:?}", keys.jobs);
-    assert!(world.drop_due(&mut spare, 1).is_empty());
-    assert_eq!(world.book.jobs["j"].results.len(), 1);
+    assert!(world.drop_due(&mut garbage, 1).is_empty());
+    assert_eq!(world.index.jobs["j"].results.len(), 1);
 }
 
 #[test]
 fn a_text_that_both_results_name_stays() {
-    let (mut world, mut spare) = (World::new(), Garbage::new(Time(0)));
+    let (mut world, mut garbage) = (World::new(), Garbage::new(Time(0)));
     // The answer to the append of the result was lost, so that it was
     // appended again; its text lay in the store before.
     let text = Some(text(&text_key("j", "a", "s0")));
@@ -151,21 +151,21 @@
         Outcome { id: "s0".into(), abandoned: false, text, versions: vec![1], score: None };
     world.append(outcome_record("j", "a.1", &outcome));
     world.append(outcome_record("j", "a.2", &outcome));
-    let keys = world.drop_due(&mut spare, 0);
+    let keys = world.drop_due(&mut garbage, 0);
     assert_eq!(keys.jobs.len(), 1, "the second result");
     assert!(keys.texts.is_empty(), "{:?}", keys.texts);
 }
 
 #[test]
 fn an_open_job_is_never_over_and_an_ended_one_only_after_what_was_promised() {
-    let (mut world, spare) = (World::new(), Garbage::new(Time(0)));
+    let (mut world, garbage) = (World::new(), Garbage::new(Time(0)));
     let late = (Time(10_000_000), 10_000_000);
-    assert!(!spare.is_expired(&world.book.jobs["j"], late.0, late.1, TERMS));
+    assert!(!garbage.is_expired(&world.index.jobs["j"], late.0, late.1, TERMS));
     world.append(end_record("j"));
-    let job = &world.book.jobs["j"];
-    assert!(!spare.is_expired(job, Time(119_999), 121_000, TERMS), "clocks may be apart");
-    assert!(spare.is_expired(job, Time(119_999), 131_001, TERMS), "or it started since");
-    assert!(spare.is_expired(job, Time(120_001), 0, TERMS));
+    let job = &world.index.jobs["j"];
+    assert!(!garbage.is_expired(job, Time(119_999), 121_000, TERMS), "clocks may be apart");
+    assert!(garbage.is_expired(job, Time(119_999), 131_001, TERMS), "or it started since");
+    assert!(garbage.is_expired(job, Time(120_001), 0, TERMS));
 }
 
 #[test]
@@ -175,7 +175,7 @@
     world.list("b", 0);
     world.keep(&["a.1"], 1);
     world.append(end_record("j"));
-    let keys = world.book.jobs["j"].keys("j");
+    let keys = world.index.jobs["j"].keys("j");
     let pair = [end_record("j").0, manifest_record("j", &Manifest::default()).0];
     assert_eq!(keys.manifests, std::slice::from_ref(&pair), "together, whatever else there is");
     assert!(!keys.jobs.contains(&pair[0]) && !keys.jobs.contains(&pair[1]));
@@ -187,15 +187,15 @@
 
 #[test]
 fn a_job_that_was_taken_in_twice_keeps_the_requests_of_its_newest_head() {
-    let (mut world, mut spare) = (World::new(), Garbage::new(Time(0)));
+    let (mut world, mut garbage) = (World::new(), Garbage::new(Time(0)));
     world.list("w", 0);
     world.list("w", 1);
-    assert_eq!(world.drop_due(&mut spare, 0).texts, [bundle_key("j", "b0")]);
-    let mut head = (*world.book.jobs["j"].manifest).clone();
+    assert_eq!(world.drop_due(&mut garbage, 0).texts, [bundle_key("j", "b0")]);
+    let mut head = (*world.index.jobs["j"].manifest).clone();
     head.bundles = ["c0", "c1"].map(|writer| text(&bundle_key("j", writer))).to_vec();
     world.append(manifest_record("j", &head));
-    assert_eq!(world.drop_due(&mut spare, 1).texts, [bundle_key("j", "c0")]);
-    assert!(world.drop_due(&mut spare, 2).is_empty(), "the others are to be run");
+    assert_eq!(world.drop_due(&mut garbage, 1).texts, [bundle_key("j", "c0")]);
+    assert!(world.drop_due(&mut garbage, 2).is_empty(), "the others are to be run");
 }
 
 #[test]
--- a/crates/hollywell/tests/tenure.rs
+++ b/crates/hollywell/tests/tenure.rs
@@ -19,7 +19,7 @@
 
 struct Instance {
     name: String,
-    tenure: StoreLease,
+    lease: StoreLease,
 }
 
 /// A partition with compare-and-append.
@@ -28,36 +28,36 @@
 
 impl Log {
     fn read(&self, to: &mut Instance, now: Time) {
-        for (offset, claim) in self.0.iter().enumerate().skip(to.tenure.end as usize) {
-            to.tenure.read(&to.name, now, offset as u64, claim);
+        for (offset, claim) in self.0.iter().enumerate().skip(to.lease.end as usize) {
+            to.lease.observe(&to.name, now, offset as u64, claim);
         }
-        to.tenure.read_to(self.0.len() as u64);
+        to.lease.observe_end(self.0.len() as u64);
     }
 
     /// Appends a claim, unless somebody was first; `heard` says whether the
     /// claimant gets the answer.
     fn append(&mut self, by: &mut Instance, sent: Time, claim: &Claim, heard: bool) -> bool {
-        if by.tenure.end != self.0.len() as u64 {
+        if by.lease.end != self.0.len() as u64 {
             return false;
         }
         let offset = self.0.len() as u64;
         self.0.push(claim.clone());
         if heard {
-            by.tenure.granted(sent, offset, claim, TERMS);
+            by.lease.record_grant(sent, offset, claim, TERMS);
         }
         true
     }
 }
 
 fn instance(name: &str) -> Instance {
-    Instance { name: name.into(), tenure: StoreLease::default() }
+    Instance { name: name.into(), lease: StoreLease::default() }
 }
 
 fn turn(log: &mut Log, instance: &mut Instance, now: u64, orders: bool) -> bool {
-    if !instance.tenure.is_held() {
+    if !instance.lease.is_held() {
         log.read(instance, Time(now));
     }
-    let claim = instance.tenure.claim(&instance.name, Time(now), TERMS, 0, orders);
+    let claim = instance.lease.claim(&instance.name, Time(now), TERMS, 0, orders);
     claim.is_some_and(|claim| log.append(instance, Time(now), &claim, true))
 }
 
@@ -66,12 +66,12 @@
     let (mut log, mut a, mut b) = (Log::default(), instance("a"), instance("b"));
     assert!(turn(&mut log, &mut a, 0, false));
     assert!(!turn(&mut log, &mut b, 100, true), "the lease is held");
-    let release = a.tenure.release("a", Time(200)).unwrap();
+    let release = a.lease.release("a", Time(200)).unwrap();
     assert!(log.append(&mut a, Time(200), &release, true));
     assert!(turn(&mut log, &mut b, 210, true));
     assert!(turn(&mut log, &mut b, 220, true), "the claim that announces orders");
-    assert!(b.tenure.fence(Time(230), MARGIN_MS).is_some(), "nobody ever gave an order");
-    assert!(a.tenure.fence(Time(230), MARGIN_MS).is_none());
+    assert!(b.lease.fence(Time(230), MARGIN_MS).is_some(), "nobody ever gave an order");
+    assert!(a.lease.fence(Time(230), MARGIN_MS).is_none());
 }
 
 #[test]
@@ -79,12 +79,12 @@
     let (mut log, mut a, mut b) = (Log::default(), instance("a"), instance("b"));
     assert!(turn(&mut log, &mut a, 0, true));
     assert!(turn(&mut log, &mut a, 10, true));
-    let last = (10..5_000).rev().find(|now| a.tenure.fence(Time(*now), MARGIN_MS).is_some());
+    let last = (10..5_000).rev().find(|now| a.lease.fence(Time(*now), MARGIN_MS).is_some());
     let last = last.unwrap();
     let mut first = None;
     for now in (20..10_000).step_by(100) {
         turn(&mut log, &mut b, now, true);
-        if b.tenure.fence(Time(now), MARGIN_MS).is_some() {
+        if b.lease.fence(Time(now), MARGIN_MS).is_some() {
             first = Some(now);
             break;
         }
@@ -99,10 +99,10 @@
     let (mut log, mut a) = (Log::default(), instance("a"));
     assert!(turn(&mut log, &mut a, 0, false));
     assert!(turn(&mut log, &mut a, 400, false));
-    assert!(a.tenure.must_announce());
-    assert_eq!(a.tenure.fence(Time(410), MARGIN_MS), None);
+    assert!(a.lease.must_announce());
+    assert_eq!(a.lease.fence(Time(410), MARGIN_MS), None);
     assert!(turn(&mut log, &mut a, 420, true));
-    assert!(a.tenure.fence(Time(430), MARGIN_MS).is_some());
+    assert!(a.lease.fence(Time(430), MARGIN_MS).is_some());
 }
 
 #[test]
@@ -110,13 +110,13 @@
     let (mut log, mut before) = (Log::default(), instance("a@10.1.0.1:80/1"));
     assert!(turn(&mut log, &mut before, 0, true));
     assert!(turn(&mut log, &mut before, 10, true));
-    before.tenure.ordered(Time(20));
+    before.lease.record_order(Time(20));
     // Everybody loses power; only this instance knows that its run has ended.
     let (mut after, mut other) = (instance("a@10.1.0.1:80/2"), instance("b@10.1.0.2:80/2"));
     assert!(!turn(&mut log, &mut other, 600, true), "the lease may still be held");
     assert!(turn(&mut log, &mut after, 600, true));
     assert!(turn(&mut log, &mut after, 610, true), "the claim that announces orders");
-    assert!(after.tenure.fence(Time(620), MARGIN_MS) > Some(0), "engines take both for one holder");
+    assert!(after.lease.fence(Time(620), MARGIN_MS) > Some(0), "engines take both for one holder");
 }
 
 #[test]
@@ -124,8 +124,8 @@
     let (mut log, mut other) = (Log::default(), instance("b@10.1.0.2:80/1"));
     assert!(turn(&mut log, &mut other, 0, true));
     assert!(turn(&mut log, &mut other, 10, true));
-    other.tenure.ordered(Time(1_000));
-    let release = other.tenure.release("b@10.1.0.2:80/1", Time(1_000)).unwrap();
+    other.lease.record_order(Time(1_000));
+    let release = other.lease.release("b@10.1.0.2:80/1", Time(1_000)).unwrap();
     assert!(log.append(&mut other, Time(1_000), &release, true));
     let mut before = instance("a@10.1.0.1:80/1");
     assert!(turn(&mut log, &mut before, 1_010, true));
@@ -133,11 +133,11 @@
     let mut after = instance("a@10.1.0.1:80/2");
     for now in (1_600..4_000).step_by(100) {
         turn(&mut log, &mut after, now, true);
-        assert_eq!(after.tenure.fence(Time(now), MARGIN_MS), None, "b ordered 3 s before 4 s");
+        assert_eq!(after.lease.fence(Time(now), MARGIN_MS), None, "b ordered 3 s before 4 s");
     }
     // How old the claim was that it read at 1,600 ms is not known.
     assert!(turn(&mut log, &mut after, 4_600, true));
-    assert!(after.tenure.fence(Time(4_610), MARGIN_MS).is_some());
+    assert!(after.lease.fence(Time(4_610), MARGIN_MS).is_some());
 }
 
 /// Plays a generated schedule of three instances, which may restart where
@@ -157,7 +157,7 @@
         let instance = &mut all[who];
         match u.int_in_range(0..=if restarts { 10 } else { 9u8 })? {
             0 => {
-                if let Some(claim) = instance.tenure.release(&instance.name, Time(now)) {
+                if let Some(claim) = instance.lease.release(&instance.name, Time(now)) {
                     log.append(instance, Time(now), &claim, u.arbitrary()?);
                 }
             }
@@ -165,7 +165,7 @@
                 // A claim that is done without an answer.
                 let wants = u.arbitrary()?;
                 let name = instance.name.clone();
-                let claim = instance.tenure.claim(&name, Time(now), TERMS, 0, wants);
+                let claim = instance.lease.claim(&name, Time(now), TERMS, 0, wants);
                 if let Some(claim) = claim {
                     log.append(instance, Time(now), &claim, false);
                 }
@@ -176,8 +176,8 @@
             }
             10 => *instance = self::instance(&format!("{}/{step}", NAMES[who])),
             _ => {
-                if let Some(fence) = instance.tenure.fence(Time(now), MARGIN_MS) {
-                    instance.tenure.ordered(Time(now));
+                if let Some(fence) = instance.lease.fence(Time(now), MARGIN_MS) {
+                    instance.lease.record_order(Time(now));
                     orders.push((now, who, fence));
                 }
             }
--- a/crates/hollywell/tests/usage.rs
+++ b/crates/hollywell/tests/usage.rs
@@ -18,7 +18,7 @@
 
 fn ledger(records: &[(String, Bytes)]) -> Ledger {
     let mut ledger = Ledger::default();
-    records.iter().for_each(|(key, value)| ledger.piece(key, value).unwrap());
+    records.iter().for_each(|(key, value)| ledger.add_counts(key, value).unwrap());
     ledger
 }
 
@@ -30,15 +30,15 @@
 fn pieces_of_all_instances_are_added_up_once() {
     let (mut a, mut b) = (Tally::default(), Tally::default());
     (0..3).for_each(|_| a.begin(4, "survey"));
-    let early = a.take("a1");
+    let early = a.take_changed("a1");
     a.begin(4, "harbour");
     a.undo(4, "survey");
-    let late = a.take("a1");
+    let late = a.take_changed("a1");
     b.begin(4, "survey");
     // The same window again, by a peer, and older than what is there.
     let carried: Vec<_> =
         early.iter().map(|(key, value)| (forwarded_key(key, "b1"), value.clone())).collect();
-    let all: Vec<_> = [late, b.take("b1"), carried].concat();
+    let all: Vec<_> = [late, b.take_changed("b1"), carried].concat();
     let sum = ledger(&all).next(TERMS.settled_ms(4), TERMS, 4);
     assert_eq!(sum, Next::Decide(4, counts(&[("harbour", 1), ("survey", 3)])));
 }
@@ -47,9 +47,9 @@
 fn what_the_store_did_not_take_is_brought_again() {
     let mut tally = Tally::default();
     tally.begin(4, "survey");
-    let taken = tally.take("a1");
-    tally.put_back(&taken);
-    let again = tally.take("a1");
+    let taken = tally.take_changed("a1");
+    tally.mark_unsaved(&taken);
+    let again = tally.take_changed("a1");
     assert_eq!(again.len(), 1);
     let sum = ledger(&[taken, again].concat()).next(TERMS.settled_ms(4), TERMS, 4);
     assert_eq!(sum, Next::Decide(4, counts(&[("survey", 1)])));
@@ -60,12 +60,12 @@
     let mut ledger = Ledger::default();
     let report = Bytes::from_static(b"as it was decided");
     for (key, value) in [decision(8, report.clone()), decision(7, report.clone())] {
-        ledger.duty(&key, &value).unwrap();
+        ledger.add_record(&key, &value).unwrap();
     }
     let now = TERMS.settled_ms(9);
     assert_eq!(ledger.next(now, TERMS, 7), Next::Report(7, report.clone()));
     for (key, value) in reported(7).into_iter().filter(|(_, value)| !value.is_empty()) {
-        ledger.duty(&key, &value).unwrap();
+        ledger.add_record(&key, &value).unwrap();
     }
     assert_eq!(ledger.next(now, TERMS, 7), Next::Report(8, report));
     assert_eq!(ledger.last_reported(), Some(7));
@@ -75,7 +75,7 @@
 fn a_duty_left_undone_for_long_is_taken_up_near_the_present() {
     let mut ledger = Ledger::default();
     for (key, value) in reported(3).into_iter().filter(|(_, value)| !value.is_empty()) {
-        ledger.duty(&key, &value).unwrap();
+        ledger.add_record(&key, &value).unwrap();
     }
     let now = TERMS.settled_ms(1_000);
     let Next::Decide(window, _) = ledger.next(now, TERMS, 0) else { panic!("nothing is due") };
@@ -88,8 +88,8 @@
         let mut ledger = Ledger::default();
         let (key, value): (String, Vec<u8>) = (u.arbitrary()?, u.arbitrary()?);
         let before = ledger.next(0, TERMS, 5);
-        let _either = ledger.piece(&key, &value);
-        let read = ledger.duty(&key, &Bytes::from(value));
+        let _either = ledger.add_counts(&key, &value);
+        let read = ledger.add_record(&key, &Bytes::from(value));
         assert!(read.is_ok() || ledger.next(0, TERMS, 5) == before || ledger.is_obsolete(""));
         Ok(())
     })
@@ -97,9 +97,9 @@
     .run();
     let mut ledger = Ledger::default();
     for key in ["", "7", "x|a", "7|", "reported|", "decided|x"] {
-        assert!(ledger.duty(key, &Bytes::from_static(b"x")).is_err(), "{key:?}");
+        assert!(ledger.add_record(key, &Bytes::from_static(b"x")).is_err(), "{key:?}");
     }
-    assert!(ledger.piece("7|a", b"\xff").is_err());
+    assert!(ledger.add_counts("7|a", b"\xff").is_err());
     assert_eq!(ledger.next(0, TERMS, 5), Next::Wait(TERMS.settled_ms(5)));
 }
 
@@ -182,17 +182,17 @@
             for writer in pieces {
                 let mut tally = Tally::default();
                 tally.begin(window, "survey");
-                let records = tally.take(writer);
-                records.iter().for_each(|(key, value)| ledger.piece(key, value).unwrap());
+                let records = tally.take_changed(writer);
+                records.iter().for_each(|(key, value)| ledger.add_counts(key, value).unwrap());
             }
             if let Some(late_piece) = known.decided {
                 let (key, value) = decision(window, report(late_piece));
-                ledger.duty(&key, &value).unwrap();
+                ledger.add_record(&key, &value).unwrap();
             }
         }
         if let Some(last) = kept.reported {
             let (key, value) = reported(u64::from(last)).swap_remove(0);
-            ledger.duty(&key, &value).unwrap();
+            ledger.add_record(&key, &value).unwrap();
         }
         ledger.next(TERMS.settled_ms(WINDOWS as u64 - 1), TERMS, 0)
     }
--- a/crates/xtask/src/guards.rs
+++ b/crates/xtask/src/guards.rs
@@ -145,8 +145,8 @@
     Guard {
         name: "an entry that does not know says unknown",
         file: REDUCER_CALLS,
-        find: "let known = if call.key.is_some() { Kind::Unverified } else { kind };",
-        replace: "let known = kind;",
+        find: "let reported = if call.key.is_some() { Kind::Unverified } else { kind };",
+        replace: "let reported = kind;",
         proof: KEYED,
     },
     Guard {
@@ -166,8 +166,8 @@
     Guard {
         name: "a stop waits for what is in flight",
         file: REDUCER_STOP,
-        find: "let quiet = self.idle_ticks > IDLE_TICKS;",
-        replace: "let quiet = self.idle_ticks <= IDLE_TICKS || idle;",
+        find: "let is_idle = self.idle_ticks > IDLE_TICKS;",
+        replace: "let is_idle = self.idle_ticks <= IDLE_TICKS || is_finished;",
         proof: KEYED,
     },
     Guard {
@@ -299,8 +299,8 @@
     Guard {
         name: "the challenger's wait",
         file: LEASE,
-        find: "(Some(_), false) => self.seen_at.after(lease_ms + guard_ms),",
-        replace: "(Some(_), false) => self.seen_at.after(guard_ms),",
+        find: "(Some(_), false) => self.read_at.after(lease_ms + guard_ms),",
+        replace: "(Some(_), false) => self.read_at.after(guard_ms),",
         proof: "lease",
     },
     Guard {
