--- a/crates/hollywell/src/core/reducer/mod.rs
+++ b/crates/hollywell/src/core/reducer/mod.rs
@@ -1,9 +1,9 @@
-//! One reducer over all events, with effects as data.
+//! The reducer: a state machine that takes events and returns effects as data.
 //!
-//! [`State::step`] is the single entry: it takes a time and an [`Event`] and
-//! returns [`Effect`]s. It has no hidden input: the same configuration and
-//! the same events give the same effects, which is what recorded traces and
-//! generated schedules rely on. The submodules hold the steps by subject.
+//! [`State::step`] is the only entry point. It takes a time and an [`Event`]
+//! and returns [`Effect`]s. It has no hidden inputs: the same configuration
+//! and events always give the same effects, on which recorded traces and
+//! generated schedules rely. The submodules handle the events by subject.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -12,14 +12,14 @@
 
 use crate::{
     core::{
-        claim::Book,
+        claim::Claims,
         effect::{Counted, Effect, Reply},
         event::{Call, Event, Forward, Message},
         id::{Dispatch, Instance, Request},
         lease,
         member::{Members, Peer, Reading},
         owner,
-        pace::Pace,
+        pace::Pacer,
         retry::Budget,
         rollout::{Slot, Steps},
         route::Policy,
@@ -38,70 +38,80 @@
 mod samples;
 mod stop;
 
-/// What an instance is told once, at its start.
+/// Configuration of an instance, fixed at its start.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Config {
-    /// This run of this instance.
-    pub me: Instance,
-    /// Its failure domain.
+    /// Id of this instance and of its current run.
+    #[serde(rename = "me")]
+    pub id: Instance,
+    /// Failure domain of this instance.
     pub domain: String,
-    /// All failure domains, the same list at every instance: keys whose home
-    /// the caller does not name are spread over them.
+    /// All failure domains; the list must be the same at every instance. Keys
+    /// without a home domain named by the caller are distributed over them.
     pub domains: Vec<String>,
-    /// Seed of the draws among targets.
+    /// Seed of the random choice among targets.
     pub seed: u64,
-    /// Times of ownership and of the lease on orders.
+    /// Durations for ownership and for the lease on orders.
     pub ownership: owner::Config,
-    /// Time between heartbeats within the failure domain, in milliseconds.
-    pub beat_ms: u64,
-    /// Time between heartbeats to other failure domains, in milliseconds.
-    pub remote_beat_ms: u64,
-    /// Silence after which a peer is taken for dead, in milliseconds.
+    /// Interval of heartbeats within the failure domain, in milliseconds.
+    #[serde(rename = "beat_ms")]
+    pub heartbeat_ms: u64,
+    /// Interval of heartbeats to other failure domains, in milliseconds.
+    #[serde(rename = "remote_beat_ms")]
+    pub remote_heartbeat_ms: u64,
+    /// Time without an answer after which a peer counts as failed, in
+    /// milliseconds.
     pub suspect_ms: u64,
-    /// How long a change of membership must last before a new map is
+    /// How long a change of membership must persist before a new map is
     /// proposed, in milliseconds.
     pub settle_ms: u64,
-    /// Records between snapshots.
+    /// Number of records between snapshots.
     pub snapshot_records: u64,
     /// Longest time between snapshots, in milliseconds.
     pub snapshot_ms: u64,
-    /// Calls in flight at once.
+    /// Maximum number of calls in attempt.
     pub calls: usize,
-    /// Steps open at once.
+    /// Maximum number of open steps.
     pub steps: usize,
-    /// Percentage of an engine's slots that rollouts leave to live traffic.
+    /// Percentage of an engine's slots that is reserved for live traffic and
+    /// not used by rollouts.
     pub reserve_percent: u32,
-    /// How long a deputy may take to copy a claim, in milliseconds.
-    pub deputy_ms: u64,
-    /// How long an order to an engine may take, in milliseconds.
+    /// How long a replica may take to confirm its copy of a claim, in
+    /// milliseconds.
+    #[serde(rename = "deputy_ms")]
+    pub replica_timeout_ms: u64,
+    /// Time limit of an order to an engine, in milliseconds.
     pub order_ms: u64,
-    /// Engines of the failure domain that may change weights at once.
+    /// Maximum number of engines of the failure domain that change weights at
+    /// the same time.
     pub orders: usize,
-    /// How long an operator's edit may take, in milliseconds.
+    /// Time limit of an operator's edit, in milliseconds.
     pub edit_ms: u64,
-    /// Weight fetches that the store allows in a second, from everyone.
-    #[serde(default = "usual_fetches")]
+    /// Weight fetches per second that the store allows to all instances
+    /// together.
+    #[serde(default = "default_fetches")]
     pub fetches_a_s: u64,
-    /// How samples are placed; the usual way in traces from before it.
+    /// How samples are placed. Traces recorded before this field existed get
+    /// the default.
     #[serde(default)]
     pub policy: Policy,
-    /// How long a stopping instance waits for its successors, in
-    /// milliseconds.
+    /// How long a stopping instance waits for other members to take over its
+    /// keys, in milliseconds.
     pub resign_ms: u64,
 }
 
 impl Config {
-    /// A configuration with the usual times.
+    /// Creates a configuration with the default durations and limits.
     #[must_use]
-    pub fn new(me: Instance, domain: &str, domains: &[&str]) -> Config {
+    pub fn new(id: Instance, domain: &str, domains: &[&str]) -> Config {
         Config {
-            seed: me.incarnation,
-            me,
+            seed: id.incarnation,
+            id,
             domain: domain.to_owned(),
             domains: domains.iter().map(|name| (*name).to_owned()).collect(),
             ownership: owner::Config::default(),
-            beat_ms: 500,
-            remote_beat_ms: 2_000,
+            heartbeat_ms: 500,
+            remote_heartbeat_ms: 2_000,
             suspect_ms: 2_000,
             settle_ms: 500,
             snapshot_records: 500,
@@ -109,23 +119,23 @@
             calls: 1_024,
             steps: 64,
             reserve_percent: 25,
-            deputy_ms: 1_000,
+            replica_timeout_ms: 1_000,
             order_ms: 5_000,
             orders: 2,
             edit_ms: 5_000,
-            fetches_a_s: usual_fetches(),
+            fetches_a_s: default_fetches(),
             policy: Policy::default(),
             resign_ms: 4_000,
         }
     }
 }
 
-/// Weight fetches a second where the settings do not say.
-const fn usual_fetches() -> u64 {
+/// Default number of weight fetches per second.
+const fn default_fetches() -> u64 {
     20
 }
 
-/// A caller's request and how far it has come.
+/// A caller's request in progress.
 #[derive(Clone, Debug)]
 struct Pending {
     call: Call,
@@ -135,17 +145,17 @@
 
 #[derive(Clone, Debug)]
 enum Path {
-    /// Sent to a target from here, without a key.
+    /// A call without a key, dispatched by this instance.
     Plain { tried: Vec<String> },
-    /// Owned here.
+    /// A keyed call whose key this instance owns.
     Owned,
-    /// Sent to the key's owner.
+    /// A keyed call that was forwarded to the key's owner.
     Forwarded { forward: Forward, address: String, tries: u32 },
 }
 
 /// An attempt at a target.
 #[derive(Clone, Debug)]
-struct Flight {
+struct Attempt {
     target: String,
     purpose: Purpose,
 }
@@ -157,17 +167,17 @@
     Sample { request: Request, slot: Slot },
 }
 
-/// A claim that waits for its deputy.
+/// A claim whose copy the replica has not confirmed yet.
 #[derive(Clone, Debug)]
-struct Asking {
+struct PendingCopy {
     request: Request,
     epoch: u64,
-    deputy: Instance,
+    replica: Instance,
     since: Time,
     until: Time,
 }
 
-/// An operator's edit that was not read back yet.
+/// An operator's edit that was not read back from the log yet.
 #[derive(Clone, Debug)]
 struct PendingEdit {
     request: Request,
@@ -176,7 +186,7 @@
     appended_at: Time,
 }
 
-/// The whole state of one instance.
+/// The complete state of one instance.
 ///
 /// # Example
 ///
@@ -194,7 +204,7 @@
 ///     home: None, digest: 7, timeout_ms: 1_000,
 /// };
 /// let event = Event::Call { request: Request(1), arrived: Time(4), call };
-/// // Nobody owns the key yet, so nobody can say that it did not run.
+/// // The key has no owner yet, so no instance knows whether it ran.
 /// let refused = Reply::Refused(Kind::Unverified);
 /// assert_eq!(
 ///     state.step(Time(5), &event),
@@ -214,31 +224,31 @@
     owner: owner::State,
     desired: (BTreeSet<Instance>, Time),
     proposed_at: Option<Time>,
-    book: Book,
+    claims: Claims,
     refusals: u64,
     refused_at: VecDeque<(Time, u64)>,
     activated_order: u64,
-    asking: BTreeMap<String, Asking>,
+    pending_copies: BTreeMap<String, PendingCopy>,
     pending: BTreeMap<Request, Pending>,
-    flights: BTreeMap<Dispatch, Flight>,
+    attempts: BTreeMap<Dispatch, Attempt>,
     last_dispatch: u64,
     budget: Budget,
     steps: Steps,
     edits: Vec<PendingEdit>,
     lease: lease::State,
     lease_from: Time,
-    ordered: BTreeMap<String, orders::Ordered>,
-    pace: Pace,
+    sent_orders: BTreeMap<String, orders::SentOrder>,
+    pacer: Pacer,
     draining: Option<Time>,
     idle_ticks: u32,
     exited: bool,
-    turn: u64,
+    choices: u64,
     rng: SmallRng,
     out: Vec<Effect>,
 }
 
 impl State {
-    /// An instance that knows nothing but its configuration.
+    /// Creates the state of an instance that has not read anything yet.
     #[must_use]
     pub fn new(config: Config) -> State {
         State {
@@ -249,38 +259,39 @@
             log_read: false,
             snapshot_at: Time(0),
             snapshot_tried_at: Time(0),
-            owner: owner::State::new(config.me.clone(), config.ownership),
+            owner: owner::State::new(config.id.clone(), config.ownership),
             desired: (BTreeSet::new(), Time(0)),
             proposed_at: None,
-            book: Book::default(),
+            claims: Claims::default(),
             refusals: 0,
             refused_at: VecDeque::new(),
             activated_order: 0,
-            asking: BTreeMap::new(),
+            pending_copies: BTreeMap::new(),
             pending: BTreeMap::new(),
-            flights: BTreeMap::new(),
+            attempts: BTreeMap::new(),
             last_dispatch: 0,
             budget: Budget::default(),
             steps: Steps::default(),
             edits: vec![],
             lease: lease::State::default(),
             lease_from: Time(0),
-            ordered: BTreeMap::new(),
-            pace: Pace::new(config.policy.pace, orders::interval_ms(&config)),
+            sent_orders: BTreeMap::new(),
+            pacer: Pacer::new(config.policy.pace, orders::interval_ms(&config)),
             draining: None,
             idle_ticks: 0,
             exited: false,
-            turn: 0,
+            choices: 0,
             rng: SmallRng::seed_from_u64(config.seed),
             out: vec![],
             config,
         }
     }
 
-    /// Takes one event at `now` and returns what is to be done about it.
+    /// Handles an event at `now` and returns the effects to carry out, in
+    /// order.
     ///
-    /// A `now` earlier than that of the event before counts as the same
-    /// instant. Effects are to be carried out in order.
+    /// If `now` is earlier than that of the previous event, the time of the
+    /// previous event is used.
     pub fn step(&mut self, now: Time, event: &Event) -> Vec<Effect> {
         self.now = now.max(self.now);
         if is_request(event) {
@@ -288,7 +299,7 @@
         }
         match event {
             Event::Tick => self.on_tick(),
-            Event::Listed(list) => self.members.take_list(list.clone(), &self.config.me.name),
+            Event::Listed(list) => self.members.update(list.clone(), &self.config.id.name),
             Event::LogRead { sent, first, records, at_end } => {
                 self.on_log(*sent, *first, records, *at_end);
             }
@@ -301,28 +312,28 @@
             Event::TargetEnded { dispatch, end, leaving } => {
                 self.on_target_ended(*dispatch, *end, *leaving);
             }
-            Event::CallerGone { request } => self.on_caller_gone(*request),
+            Event::CallerGone { request } => self.on_caller_disconnected(*request),
             Event::Loaded { target, load } => self.on_load(target, load.as_ref()),
-            Event::Version { trainer, version } => self.steps.note_version(trainer, *version),
+            Event::Version { trainer, version } => self.steps.record_version(trainer, *version),
             Event::StepOpened { request, opening } => self.on_step_opened(*request, opening),
             Event::SampleEnded { dispatch, end } => self.on_sample_ended(*dispatch, end),
             Event::Edit { request, edit } => self.on_edit(*request, edit),
             Event::OrderEnded { target, taken } => self.on_order_ended(target, *taken),
             Event::Drain => self.draining = self.draining.or(Some(self.now)),
         }
-        self.pump_samples();
+        self.start_samples();
         std::mem::take(&mut self.out)
     }
 
     fn on_tick(&mut self) {
-        self.send_beats();
-        self.keep_ownership();
-        self.keep_claims();
-        self.keep_agreed();
-        self.keep_orders();
+        self.send_heartbeats();
+        self.tick_ownership();
+        self.tick_claims();
+        self.tick_agreed();
+        self.tick_orders();
         self.hedge_samples();
         self.end_late_steps();
-        self.keep_stopping();
+        self.tick_stopping();
     }
 
     fn emit(&mut self, effect: Effect) {
@@ -344,7 +355,7 @@
     }
 
     fn send(&mut self, address: &str, message: Message) {
-        let from = self.owner.me().clone();
+        let from = self.owner.local().clone();
         let address = address.to_owned();
         self.emit(Effect::Send { from, address, message });
     }
@@ -365,81 +376,81 @@
         Dispatch(self.last_dispatch)
     }
 
-    /// The offset before which everything is folded, and whether that state
-    /// is known to have no gap.
+    /// Returns the offset of the first record that is not folded yet, and
+    /// whether the folded state has no gap.
     #[must_use]
     pub fn folded(&self) -> (u64, bool) {
         (self.fold.state().next, !self.fold.has_gap())
     }
 
-    /// What this instance was told at its start.
+    /// Returns the configuration.
     #[must_use]
     pub fn config(&self) -> &Config {
         &self.config
     }
 
-    /// True if a peer answered lately.
+    /// Returns true if a peer answered recently.
     #[must_use]
     pub fn is_live(&self, peer: &Peer) -> bool {
-        let is_near = peer.listed.domain == self.config.domain;
-        let far_ms = self.config.suspect_ms.max(self.config.remote_beat_ms * 2);
-        let window_ms = if is_near { self.config.suspect_ms } else { far_ms };
+        let is_local = peer.listed.domain == self.config.domain;
+        let remote_ms = self.config.suspect_ms.max(self.config.remote_heartbeat_ms * 2);
+        let window_ms = if is_local { self.config.suspect_ms } else { remote_ms };
         peer.is_live(self.now, window_ms)
     }
 
-    /// The agreed state as far as it is known here.
+    /// Returns the agreed state, as far as it was folded here.
     #[must_use]
     pub fn agreed(&self) -> &crate::core::stream::Snapshot {
         self.fold.state()
     }
 
-    /// The instances and targets known here.
+    /// Returns the instances and targets that are known here.
     #[must_use]
     pub fn members(&self) -> &Members {
         &self.members
     }
 
-    /// This instance's place in its failure domain's ownership.
+    /// Returns this instance's state in the ownership protocol.
     #[must_use]
     pub fn ownership(&self) -> &owner::State {
         &self.owner
     }
 
-    /// Number of keys whose claims are known here.
+    /// Returns the number of claims that are known here.
     #[must_use]
     pub fn claims(&self) -> usize {
-        self.book.len()
+        self.claims.len()
     }
 
-    /// The open steps.
+    /// Returns the open steps.
     #[must_use]
     pub fn steps(&self) -> &Steps {
         &self.steps
     }
 
-    /// Calls and steps that were not answered yet.
+    /// Returns the number of calls, steps and edits in progress.
     #[must_use]
     pub fn in_flight(&self) -> usize {
         self.pending.len() + self.steps.open.len() + self.edits.len()
     }
 
-    /// True once the instance was asked to stop.
+    /// Returns true once the instance was asked to stop.
     #[must_use]
     pub fn is_draining(&self) -> bool {
         self.draining.is_some()
     }
 
-    /// True if this instance can take calls and steps: it has a state
-    /// without gaps and is not stopping.
+    /// Returns true if this instance can accept calls and steps: it has read
+    /// the log to its end without gaps and is not stopping.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         self.log_read && !self.fold.has_gap() && self.draining.is_none()
     }
 
-    /// What this instance says of itself as an owner, if it is active.
+    /// What this instance reports about itself as an owner, if it is active.
     fn reading(&self) -> Option<Reading> {
         let reading = || Reading {
-            from: self.owner.me().clone(),
+            from: self.owner.local().clone(),
             epoch: self.owner.map().epoch,
             order: self.refusals,
             clock: self.now,
@@ -448,7 +459,7 @@
     }
 }
 
-/// True for an event that somebody awaits an answer to.
+/// Returns true for an event that must be answered.
 const fn is_request(event: &Event) -> bool {
     matches!(
         event,
--- a/crates/hollywell/src/entry/caller.rs
+++ b/crates/hollywell/src/entry/caller.rs
@@ -15,7 +15,7 @@
 use crate::{
     core::{
         configuration::{Configuration, Route},
-        organisation::{Directory, Organisation, Stranger},
+        organisation::{AuthError, Directory, Organisation},
     },
     entry::{configuration, shared::Shared},
     error::Kind,
@@ -66,11 +66,13 @@
     headers: &HeaderMap,
 ) -> Result<&'a Organisation, Kind> {
     let values = headers.get_all(header::AUTHORIZATION);
-    directory.caller(values.iter().map(http::HeaderValue::as_bytes)).map_err(|why: Stranger| {
-        shared.meters.unauthenticated.with_label_values(&[why.as_str()]).inc();
-        log::info!("a caller is not known: {}", why.as_str());
-        Kind::UnknownCaller
-    })
+    directory.authenticate(values.iter().map(http::HeaderValue::as_bytes)).map_err(
+        |why: AuthError| {
+            shared.meters.unauthenticated.with_label_values(&[why.as_str()]).inc();
+            log::info!("a caller is not known: {}", why.as_str());
+            Kind::UnknownCaller
+        },
+    )
 }
 
 /// The route of a request, and who may use it.
@@ -116,7 +118,7 @@
 ///
 /// # Errors
 ///
-/// Why it is refused: [`Kind::StoreAway`] where that cannot be known.
+/// Why it is refused: [`Kind::StoreUnavailable`] where that cannot be known.
 pub async fn identify_for_route(
     shared: &Rc<Shared>,
     host: &str,
@@ -143,7 +145,7 @@
     let until = Instant::now() + CONFIGURATION_WAIT;
     loop {
         let told = shared.configuration_read.notified();
-        let plan = shared.control.borrow().configuration.clone().ok_or(Kind::StoreAway)?;
+        let plan = shared.control.borrow().configuration.clone().ok_or(Kind::StoreUnavailable)?;
         let current = is_current(shared);
         match judge(&plan) {
             Ok(judged) if !is_too_old(shared, &plan) => return Ok(judged),
@@ -151,7 +153,7 @@
             Ok(_) | Err(_) => {}
         }
         if timeout_at(until, told).await.is_err() {
-            return Err(Kind::StoreAway);
+            return Err(Kind::StoreUnavailable);
         }
     }
 }
--- a/crates/hollywell/src/entry/duties.rs
+++ b/crates/hollywell/src/entry/duties.rs
@@ -202,18 +202,18 @@
     let mut skipped = Vec::new();
     for record in &decided.records {
         let value = record.value.clone().unwrap_or_default();
-        skipped.extend(ledger.duty(&record.key, &value).err());
+        skipped.extend(ledger.add_record(&record.key, &value).err());
     }
     for record in &pieces.records {
         let value = record.value.clone().unwrap_or_default();
-        skipped.extend(ledger.piece(&record.key, &value).err());
+        skipped.extend(ledger.add_counts(&record.key, &value).err());
     }
     for error in skipped {
         shared.meters.usage_skipped.inc();
         log::warn!("{error}");
     }
     let keys = pieces.records.into_iter().map(|record| record.key);
-    let spent = keys.filter(|key| ledger.is_spent(key)).collect();
+    let spent = keys.filter(|key| ledger.is_obsolete(key)).collect();
     Ok((ledger, decided.end, spent))
 }
 
--- a/crates/hollywell/src/entry/ingress.rs
+++ b/crates/hollywell/src/entry/ingress.rs
@@ -252,7 +252,7 @@
             Err(kind) => return refuse(shared, kind),
         };
     let Some(plan) = known_plan(shared) else {
-        return refuse(shared, Kind::StoreAway);
+        return refuse(shared, Kind::StoreUnavailable);
     };
     let names = &shared.codec.headers;
     if plan.organisations.is_some() {
@@ -336,7 +336,7 @@
     };
     if *caller != Caller::Unrestricted {
         let own = [header::AUTHORIZATION.as_str(), shared.codec.headers.organisation.as_str()];
-        decoded.drop_headers(&own);
+        decoded.remove_headers(&own);
     }
     let done = jobs::submit(shared, caller, id, host, path, &decoded).await;
     let accepted = done == JobReply::Done;
@@ -351,7 +351,7 @@
     match reply {
         JobReply::Done => Response::new(Full::default()),
         JobReply::Body(body) => Response::new(Full::new(body)),
-        JobReply::Rejected | JobReply::Unavailable => refuse(shared, Kind::StoreAway),
+        JobReply::Rejected | JobReply::Unavailable => refuse(shared, Kind::StoreUnavailable),
         JobReply::StoreFull(ms) => come_back(refuse(shared, Kind::StoreFull), ms),
         JobReply::OutcomeUnknown => refuse(shared, Kind::OutcomeUnknown),
         JobReply::NotFound => refuse(shared, Kind::NoRoute),
--- a/crates/hollywell/src/entry/jobs.rs
+++ b/crates/hollywell/src/entry/jobs.rs
@@ -16,7 +16,7 @@
 
 use crate::{
     core::{
-        batch::{self, Head, Outcome, Sample, Submission, TextRef},
+        batch::{self, Manifest, Outcome, Sample, Submission, TextRef},
         capacity::Purpose,
         dispatch::{Event, Slot},
     },
@@ -99,7 +99,7 @@
     if !batch::is_id(job) || decoded.samples.iter().any(|sample| !batch::is_id(&sample.id)) {
         return JobReply::Malformed(format!(
             "ids have 1 to {} bytes, none of them '|'",
-            batch::MAX_ID
+            batch::MAX_ID_LEN
         ));
     }
     // Another instance may just have accepted it. Where that cannot be read,
@@ -125,7 +125,7 @@
             return JobReply::Rejected;
         }
     };
-    let head = Head {
+    let head = Manifest {
         host: host.to_owned(),
         path: path.to_owned(),
         at_ms: unix_ms(),
@@ -137,7 +137,7 @@
         bundles,
         organisation: caller.organisation().to_owned(),
     };
-    let (key, value) = batch::head_record(job, &head);
+    let (key, value) = batch::manifest_record(job, &head);
     let most = shared.settings.store.record_bytes;
     if key.len() + value.len() >= most {
         return JobReply::Malformed(format!("{} bytes of a job's head exceed {most}", value.len()));
@@ -199,7 +199,7 @@
 /// Whether a job is known that the caller may see.
 fn is_seen(shared: &Shared, caller: &Caller, part: usize, job: &str) -> bool {
     let control = shared.control.borrow();
-    let head = control.partitions[part].index.jobs.get(job).map(|job| &job.head);
+    let head = control.partitions[part].index.jobs.get(job).map(|job| &job.manifest);
     head.is_some_and(|head| caller.may_see(&head.organisation))
 }
 
@@ -258,7 +258,7 @@
 }
 
 /// Reads a job's results from a position on, waiting for `hold` at most for
-/// those that are worth an answer ([`batch::Job::is_worth_reading`]).
+/// those that are worth an answer ([`batch::Job::is_worth_answering`]).
 ///
 /// Trainers wait for a number of whole groups, and come back half a second
 /// after each answer. With an answer at the first result, the last one that a
@@ -275,8 +275,8 @@
     let listed = |shared: &Shared| {
         let control = shared.control.borrow();
         let job = control.partitions[part].index.jobs.get(job)?;
-        let due = job.is_worth_reading(after) || after >= job.done.len();
-        Some((job.listed.len(), due))
+        let due = job.is_worth_answering(after) || after >= job.done.len();
+        Some((job.results.len(), due))
     };
     // A position beyond the fold was read elsewhere, or never existed.
     if listed(shared).is_none_or(|(len, _)| len < after) && !catch_up(shared, part).await {
@@ -361,7 +361,7 @@
     let job = control.partitions[part].index.jobs.get(job)?;
     let mut outcomes: Vec<Outcome> = Vec::new();
     let mut bytes = 0;
-    for listed in job.listed.iter().skip(after) {
+    for listed in job.results.iter().skip(after) {
         let outcome: Outcome = match Outcome::decode(listed.value.clone()) {
             Ok(outcome) => outcome,
             Err(error) => {
--- a/crates/hollywell/src/entry/orders.rs
+++ b/crates/hollywell/src/entry/orders.rs
@@ -113,12 +113,12 @@
     let mut steps: BTreeMap<String, Vec<Step>> = BTreeMap::new();
     let jobs = control.partitions.iter().flat_map(|partition| &partition.index.jobs);
     for (id, job) in jobs {
-        if job.ended || job.is_whole() || control.ending.is_pending(id) {
+        if job.ended || job.is_complete() || control.ending.is_pending(id) {
             continue;
         }
-        let samples = (job.done.len() - job.listed.len()) as u64;
-        let step = Step { min_version: job.head.min_version, samples };
-        steps.entry(job.head.model.clone()).or_default().push(step);
+        let samples = (job.done.len() - job.results.len()) as u64;
+        let step = Step { min_version: job.manifest.min_version, samples };
+        steps.entry(job.manifest.model.clone()).or_default().push(step);
     }
     steps
 }
--- a/crates/hollywell/src/entry/run.rs
+++ b/crates/hollywell/src/entry/run.rs
@@ -117,7 +117,7 @@
     let known = control.partial_texts.get(slot).map_or(0, |text| text.last_event);
     if partial.last > known {
         // What an earlier job kept goes with that job, and is kept anew.
-        let own = partial.is_of(&slot.job);
+        let own = partial.belongs_to(&slot.job);
         let text = GeneratedText {
             last_event: partial.last,
             versions: partial.versions.into_iter().collect(),
@@ -138,7 +138,7 @@
     let job = control.partitions[part].index.jobs.get(&slot.job)?;
     let partial = job.partials.get(&slot.at)?;
     let known = control.partial_texts.get(slot).map_or(0, |text| text.last_event);
-    let allowed = partial.is_allowed(job.head.min_version);
+    let allowed = partial.is_allowed(job.manifest.min_version);
     (partial.last > known && allowed).then(|| partial.clone())
 }
 
@@ -185,7 +185,8 @@
 fn digest(shared: &Shared, slot: &Slot, sample: &Sample) -> Digest {
     let control = shared.control.borrow();
     let job = control.partitions[shared.partition_of(&slot.job)].index.jobs.get(&slot.job);
-    let (host, organisation) = job.map_or(("", ""), |job| (&job.head.host, &job.head.organisation));
+    let (host, organisation) =
+        job.map_or(("", ""), |job| (&job.manifest.host, &job.manifest.organisation));
     Digest::of(&["POST", host, &sample.path, organisation], &sample.body)
 }
 
@@ -237,12 +238,12 @@
     let job = control.partitions[shared.partition_of(&slot.job)].index.jobs.get(&slot.job)?;
     let headers = &shared.codec.headers;
     let mut request = Request::post(sample.path.as_str())
-        .header(http::header::HOST, job.head.host.as_str())
+        .header(http::header::HOST, job.manifest.host.as_str())
         .header(&headers.request_id, sample.id.as_str())
         .header(&headers.target, target.id.as_str())
         .header(&headers.priority, HeaderValue::from(u16::from(priority)));
-    if !job.head.organisation.is_empty() {
-        request = request.header(&headers.organisation, job.head.organisation.as_str());
+    if !job.manifest.organisation.is_empty() {
+        request = request.header(&headers.organisation, job.manifest.organisation.as_str());
     }
     for header in &sample.headers {
         request = request.header(header.name.as_str(), header.value.as_str());
@@ -325,8 +326,8 @@
         else {
             return End::Broken;
         };
-        let (model, min_version) = (job.head.model.clone(), job.head.min_version);
-        let id = job.head.samples[slot.at].id.clone();
+        let (model, min_version) = (job.manifest.model.clone(), job.manifest.min_version);
+        let id = job.manifest.samples[slot.at].id.clone();
         Context { shared, run, slot, target, digest, model, min_version, id }
     };
     match events(&context, answer).await {
--- a/crates/hollywell/src/entry/suspects.rs
+++ b/crates/hollywell/src/entry/suspects.rs
@@ -182,7 +182,7 @@
         if self.expires {
             return;
         }
-        self.shared.probe_permits.borrow_mut().give_back(&self.subject, &self.request.who);
+        self.shared.probe_permits.borrow_mut().release(&self.subject, &self.request.who);
         let Some(issuer) = self.issuer.take() else {
             return;
         };
@@ -207,7 +207,7 @@
     let request =
         PermitRequest { pool: pool.to_owned(), who: shared.unique_key_part(), is_over: false };
     let now = shared.now();
-    if !shared.probe_permits.borrow_mut().take(now, &subject, &request.who) {
+    if !shared.probe_permits.borrow_mut().try_acquire(now, &subject, &request.who) {
         return None;
     }
     let word = Bytes::from(request.encode_to_vec());
@@ -231,10 +231,10 @@
     };
     let (now, mut permits) = (shared.now(), shared.probe_permits.borrow_mut());
     if is_over {
-        permits.give_back(&pool, &who);
+        permits.release(&pool, &who);
         return peers::empty_response(StatusCode::OK);
     }
-    let is_free = permits.take(now, &pool, &who);
+    let is_free = permits.try_acquire(now, &pool, &who);
     peers::empty_response(if is_free { StatusCode::OK } else { StatusCode::CONFLICT })
 }
 
--- a/crates/hollywell/src/entry/unstarted.rs
+++ b/crates/hollywell/src/entry/unstarted.rs
@@ -69,11 +69,11 @@
         return (!control.ending.is_pending(id)).then_some(Reason::Unread);
     };
     let is_here = control.partial_texts.keys().any(|slot| slot.job == id);
-    if job.ended || is_here || !job.listed.is_empty() || !job.partials.is_empty() {
+    if job.ended || is_here || !job.results.is_empty() || !job.partials.is_empty() {
         return None;
     }
     let plan = control.configuration.as_ref();
-    let route = plan.and_then(|plan| plan.route(&job.head.host, &job.head.path));
+    let route = plan.and_then(|plan| plan.route(&job.manifest.host, &job.manifest.path));
     let pool = route.and_then(|route| route.pools.first());
     let Some((pool, _)) = pool else {
         return Some(Reason::Unrouted);
@@ -84,7 +84,7 @@
     if control.roster.members().is_empty() {
         return Some(Reason::NoInstances);
     }
-    let fits = |target: &Target| target.may_run(&job.head.model, job.head.min_version);
+    let fits = |target: &Target| target.may_run(&job.manifest.model, job.manifest.min_version);
     let is_served = control.fleet.usable(pool).any(fits);
     Some(if is_served { Reason::OwnerIdle } else { Reason::NoTarget })
 }
