--- a/crates/hollywell/src/entry/caller.rs
+++ b/crates/hollywell/src/entry/caller.rs
@@ -1,11 +1,14 @@
-//! Who asks, decided once at the edge, and whether enough is known to refuse.
+//! Authentication of callers at the edge, and whether the configuration is
+//! fresh enough to refuse a request.
 //!
-//! "No such key" and "no such route" are claims about the newest
-//! configuration. An instance whose own may be older waits for the next
-//! reading, one for all who wait, and answers that it cannot know where none
-//! comes. A flood of bad keys therefore causes no call at all.
+//! "Unknown key" and "no such route" are statements about the newest
+//! configuration. If this instance's configuration may be out of date, the
+//! request waits for the next refresh, which all waiting requests share; if
+//! none arrives in time, the caller is refreshed that the store is unavailable.
+//! Requests with bad keys therefore never cause a call of their own.
 //!
-//! What it leaves out: what a key means ([`crate::core::organisation`]).
+//! How a key maps to an organisation is defined in
+//! [`crate::core::organisation`].
 
 use std::{rc::Rc, time::Duration};
 
@@ -21,25 +24,25 @@
     error::Kind,
 };
 
-/// Longest time that a caller waits for news of the configuration before it
-/// is told that it cannot be known. Reads of the store that wait in vain take
-/// less than twice that; callers give up after a second or so.
+/// Longest time that a request waits for the configuration to be refreshed.
+/// A long poll of the store that returns nothing takes less than twice that;
+/// callers time out after about one second.
 const CONFIGURATION_WAIT: Duration = Duration::from_millis(600);
 
-/// Who asks about jobs.
+/// Whose jobs a request may access.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Caller {
-    /// Organisations are not told apart.
+    /// The configuration has no organisations: all jobs.
     Unrestricted,
-    /// A caller without a key, where some jobs are everybody's.
+    /// A caller without a valid key on a host that has public jobs.
     Anonymous,
-    /// A caller of that organisation.
+    /// An authenticated member of an organisation.
     Organisation(String),
 }
 
 impl Caller {
-    /// Whether a job is this caller's to read and to end. One that belongs to
-    /// no organisation is everybody's.
+    /// Whether this caller may read and end a job of an organisation. A job
+    /// without an organisation is public.
     #[must_use]
     pub fn may_see(&self, organisation: &str) -> bool {
         match self {
@@ -49,7 +52,7 @@
         }
     }
 
-    /// The organisation that a job of this caller belongs to.
+    /// The organisation that owns the jobs that this caller submits.
     #[must_use]
     pub fn organisation(&self) -> &str {
         match self {
@@ -59,7 +62,7 @@
     }
 }
 
-/// The organisation whose key came with a request.
+/// The organisation that a request's API key belongs to.
 fn organisation<'a>(
     shared: &Shared,
     directory: &'a Directory,
@@ -73,7 +76,7 @@
     })
 }
 
-/// The route of a request, and who may use it.
+/// The route of a request and its caller, under one configuration.
 fn for_route(
     shared: &Shared,
     plan: &Plan,
@@ -95,7 +98,7 @@
     Ok((route, caller))
 }
 
-/// Who asks about a job of a host.
+/// The caller of an operation on a job of a host, under one configuration.
 fn for_job(shared: &Shared, plan: &Plan, host: &str, headers: &HeaderMap) -> Result<Caller, Kind> {
     let Some(directory) = &plan.organisations else {
         return Ok(Caller::Unrestricted);
@@ -107,11 +110,13 @@
     }
 }
 
-/// The route of a request and its caller, by the newest configuration.
+/// The route of a request and its caller, under a configuration that is fresh
+/// enough.
 ///
 /// # Errors
 ///
-/// Why it is refused: [`Kind::StoreAway`] where that cannot be known.
+/// Why the request is refused; [`Kind::StoreAway`] if no configuration that is
+/// fresh enough arrived in time.
 pub async fn identify_for_route(
     shared: &Rc<Shared>,
     host: &str,
@@ -121,7 +126,8 @@
     with_current_configuration(shared, |plan| for_route(shared, plan, host, path, headers)).await
 }
 
-/// Who asks about a job, by the newest configuration.
+/// The caller of an operation on a job, under a configuration that is fresh
+/// enough.
 ///
 /// # Errors
 ///
@@ -133,32 +139,34 @@
 
 async fn with_current_configuration<T>(
     shared: &Rc<Shared>,
-    judge: impl Fn(&Plan) -> Result<T, Kind>,
+    identify: impl Fn(&Plan) -> Result<T, Kind>,
 ) -> Result<T, Kind> {
-    let until = Instant::now() + CONFIGURATION_WAIT;
+    let deadline = Instant::now() + CONFIGURATION_WAIT;
     loop {
-        let told = shared.configured.notified();
+        let refreshed = shared.configured.notified();
         let plan = shared.world.borrow().plan.clone().ok_or(Kind::StoreAway)?;
         let current = is_current(shared);
-        match judge(&plan) {
-            Ok(judged) if !is_too_old(shared, &plan) => return Ok(judged),
+        match identify(&plan) {
+            Ok(identified) if !is_too_old(shared, &plan) => return Ok(identified),
             Err(kind) if current => return Err(kind),
             Ok(_) | Err(_) => {}
         }
-        if timeout_at(until, told).await.is_err() {
+        if timeout_at(deadline, refreshed).await.is_err() {
             return Err(Kind::StoreAway);
         }
     }
 }
 
-/// Whether what is known of the configuration is new enough to refuse by it:
-/// whatever was acknowledged before has to be in force somewhat later.
+/// Whether the configuration is fresh enough to refuse a request. A change has
+/// to be in force `config_apply` after its acknowledgement; a quarter of that
+/// is kept as a margin.
 fn is_current(shared: &Shared) -> bool {
     let apply_ms = shared.settings.times.config_apply.as_millis();
     configuration::age_ms(shared).is_some_and(|age_ms| u128::from(age_ms) * 4 <= apply_ms * 3)
 }
 
-/// Whether it is so old that a key must not be taken for good any more.
+/// Whether the configuration is too old to accept an API key, which may have
+/// been revoked since.
 fn is_too_old(shared: &Shared, plan: &Plan) -> bool {
     let Some(revoke) = shared.settings.times.revoke else {
         return false;
--- a/crates/hollywell/src/entry/forward.rs
+++ b/crates/hollywell/src/entry/forward.rs
@@ -1,10 +1,10 @@
-//! Plain requests: sent to a target of the route's pool, and again where
-//! that is allowed.
+//! Forwards plain requests to the targets of a route's pool and retries them
+//! where the route allows it.
 //!
-//! An answer is taken whole before any of it is passed on, so that one that
-//! breaks off is never seen by the caller, and a repeatable request can be
-//! sent to another target instead. What it leaves out: streams of text
-//! ([`crate::entry::run`]) and where an answer goes.
+//! A response is buffered completely before any of it is passed on: a caller
+//! never sees a truncated response, and a request that is safe to repeat can
+//! be retried at another target. Streams of generated text are handled in
+//! [`crate::entry::run`].
 
 use std::{
     cell::{Cell, OnceCell},
@@ -34,28 +34,31 @@
     error::Kind,
 };
 
-/// Requests at a target for each of its slots beyond which it is not asked.
-/// Plain services shed what they cannot start soon.
-const MOST_LOAD: f64 = 3.0;
-/// A repeatable request goes to another target after so many times the
-/// route's target time without an answer.
-const PATIENCE: u64 = 3;
-/// Least and most of that patience, in milliseconds.
-const PATIENCE_MS: (u64, u64) = (250, 1_000);
-/// Time kept back for the way to the caller, in milliseconds.
+/// Limit on the requests at a target, as a multiple of its slots. Plain
+/// services reject requests that they cannot start soon.
+const MAX_LOAD: f64 = 3.0;
+/// Time-out of an attempt at a request that is safe to repeat, as a multiple of
+/// the route's target latency; then the request is retried at another target.
+const ATTEMPT_TIMEOUT_FACTOR: u64 = 3;
+/// Lower and upper bound of that time-out, in milliseconds.
+const ATTEMPT_TIMEOUT_MS: (u64, u64) = (250, 1_000);
+/// Part of the deadline that is reserved for the response to reach the caller,
+/// in milliseconds.
 const MARGIN_MS: u64 = 20;
-/// Pause while no target has room, and before a try after all were asked.
-const PAUSE: Duration = Duration::from_millis(25);
-/// Largest answer of a plain service.
-const ANSWER_BYTES: usize = 32 << 20;
-/// Targets that one attempt may end, with those that the same request ended
-/// before. What ran beside a culprit is served by the second; a culprit ends no
-/// more of them than that.
-const MOST_ENDS: u32 = 2;
-/// When a suspect comes back that would be tried at its pool's last sound
-/// target, in milliseconds: others start again within seconds.
-const LAST_SOUND_PAUSE_MS: u64 = 500;
-/// Headers that concern one connection only (RFC 9110, section 7.6.1).
+/// Delay before targets are examined again while all of them are full, or
+/// while a suspect request waits for its isolated probe.
+const RETRY_DELAY: Duration = Duration::from_millis(25);
+/// Limit on the body of a plain service's response, in bytes.
+const MAX_RESPONSE_BYTES: usize = 32 << 20;
+/// Targets that may crash under one request, including crashes under the same
+/// request before. An innocent request that ran next to a poison request is
+/// served by its second target; a poison request crashes no more than two.
+const MAX_CRASHES: u32 = 2;
+/// Retry delay for a suspect request that could only be probed at the last
+/// healthy target of its pool, in milliseconds: other targets restart within
+/// seconds.
+const LAST_HEALTHY_RETRY_MS: u64 = 500;
+/// Headers that apply to a single connection (RFC 9110, section 7.6.1).
 const HOP_BY_HOP: [HeaderName; 6] = [
     header::CONNECTION,
     header::TRANSFER_ENCODING,
@@ -65,37 +68,40 @@
     HeaderName::from_static("keep-alive"),
 ];
 
-/// A plain request, ready to be sent.
+/// A plain request with its body.
 #[derive(Clone, Debug)]
 pub struct PlainRequest {
-    /// Its method.
+    /// The method.
     pub method: Method,
-    /// Its path and query.
+    /// The path and query.
     pub target: String,
-    /// The host that it names.
+    /// The value of `Host`.
     pub host: String,
-    /// The id of the caller's attempt.
+    /// The id that the caller gave this attempt.
     pub id: String,
-    /// The organisation that asks; empty if that is nobody's business.
+    /// The caller's organisation; empty if the configuration has none or the
+    /// route is public.
     pub organisation: String,
-    /// All other headers of the caller.
+    /// The caller's headers.
     pub headers: HeaderMap,
-    /// Its body.
+    /// The body.
     pub body: Bytes,
     /// When the caller stops waiting.
     pub deadline: Time,
-    /// The window of usage in which it began, once it has.
-    pub began: Cell<Option<u64>>,
-    /// Its digest, once it was asked for: a body may be many MB.
+    /// The usage window in which the request is counted; `None` until it is
+    /// first sent.
+    pub usage_window: Cell<Option<u64>>,
+    /// The digest, computed on first use because a body may have many MB.
     pub digest: OnceCell<Digest>,
 }
 
 impl PlainRequest {
-    /// What it has in common with the same request asked again.
+    /// Identifies the request's content across retries and instances.
     #[must_use]
     pub fn digest(&self) -> Digest {
         *self.digest.get_or_init(|| {
-            // A key that was replaced must not clear a culprit.
+            // The organisation, not its API key: rotating the key must not
+            // clear a poison request.
             let caller = match self.headers.get(header::AUTHORIZATION) {
                 Some(key) => String::from_utf8_lossy(key.as_bytes()),
                 None => self.organisation.as_str().into(),
@@ -106,110 +112,115 @@
 }
 
 impl PlainRequest {
-    /// Counts it for its organisation as it is sent for the first time.
-    fn begin(&self, shared: &Shared) {
-        if self.began.get().is_none() {
-            self.began.set(usage::begin(shared, &self.organisation));
+    /// Counts the request as its organisation's usage when it is first sent.
+    fn count_usage(&self, shared: &Shared) {
+        if self.usage_window.get().is_none() {
+            self.usage_window.set(usage::begin(shared, &self.organisation));
         }
     }
 
-    /// Takes that back.
-    fn undo_begin(&self, shared: &Shared) {
-        if let Some(window) = self.began.take() {
+    /// Reverts [`Self::count_usage`].
+    fn uncount_usage(&self, shared: &Shared) {
+        if let Some(window) = self.usage_window.take() {
             usage::undo(shared, window, &self.organisation);
         }
     }
 }
 
-/// A target's whole answer.
+/// A target's complete response.
 #[derive(Clone, Debug)]
 pub struct TargetResponse {
-    /// Its status.
+    /// The status.
     pub status: StatusCode,
-    /// Its headers, without those of the connection.
+    /// The headers, without hop-by-hop headers.
     pub headers: HeaderMap,
-    /// Its body.
+    /// The body.
     pub body: Bytes,
 }
 
 impl TargetResponse {
-    /// The target's signature.
+    /// The value of the signature header.
     #[must_use]
     pub fn signature(&self, name: &HeaderName) -> Option<String> {
         self.headers.get(name)?.to_str().ok().map(str::to_owned)
     }
 }
 
-/// What became of a request.
+/// The result of forwarding a request.
 #[derive(Clone, Debug)]
 pub enum ForwardResult {
-    /// A target answered.
+    /// A target responded.
     Answered(TargetResponse),
-    /// No target's answer can be passed on; when to come back, in
-    /// milliseconds, where that is known.
+    /// There is no response to pass on; with the retry delay in milliseconds,
+    /// if one is known.
     Refused(Kind, Option<u64>),
 }
 
-/// What became of one send.
+/// The result of sending a request to one target.
 enum SendOutcome {
     Answered(TargetResponse),
     NotRun,
     MayHaveRun,
-    /// The target has ended meanwhile.
+    /// The target's process exited while it had the request.
     TargetExited,
 }
 
-/// What became of a request's sends so far.
+/// The state of a request over all its attempts.
 #[derive(Default)]
-struct Attempt {
-    /// Targets that were asked.
+struct RequestState {
+    /// Ids of the targets that the request was sent to.
     tried: Vec<String>,
-    /// One of them may have run it.
-    ran: bool,
-    /// Targets that ended under the request, here or before.
-    ends: u32,
-    /// A target's own failure, to be passed on if nothing better comes.
+    /// One of them may have run the request.
+    may_have_run: bool,
+    /// Targets that crashed under the request, including earlier requests with
+    /// the same digest.
+    crashes: u32,
+    /// A target's error response, passed on if no other target succeeds.
     failure: Option<TargetResponse>,
-    /// The request is held back from all targets.
-    held: bool,
-    /// When to come back, in milliseconds, where that is known.
-    come_back_ms: Option<u64>,
+    /// The request is held back because it crashes targets.
+    is_held_back: bool,
+    /// The retry delay to tell the caller, in milliseconds, if one is known.
+    retry_after_ms: Option<u64>,
 }
 
-impl Attempt {
-    /// Whether another target may be asked.
-    fn may_go_on(&self, route: &Route) -> bool {
+impl RequestState {
+    /// Whether the request may be sent again.
+    fn may_retry(&self, route: &Route) -> bool {
         let tried = u32::try_from(self.tried.len()).unwrap_or(u32::MAX);
-        let is_safe = route.repeat == Repeat::Safe || !self.ran;
-        tried < route.attempts.max(1) && self.ends < MOST_ENDS && is_safe
+        let is_safe = route.repeat == Repeat::Safe || !self.may_have_run;
+        tried < route.attempts.max(1) && self.crashes < MAX_CRASHES && is_safe
     }
 
-    /// Takes over what became of a send; an answer that ends the request is
-    /// returned.
-    fn note(&mut self, route: &Route, target: String, sent: SendOutcome) -> Option<TargetResponse> {
+    /// Records the result of an attempt. Returns the response if it is final.
+    fn record(
+        &mut self,
+        route: &Route,
+        target: String,
+        sent: SendOutcome,
+    ) -> Option<TargetResponse> {
         self.tried.push(target);
         match sent {
             SendOutcome::NotRun => {}
-            SendOutcome::MayHaveRun => self.ran = true,
+            SendOutcome::MayHaveRun => self.may_have_run = true,
             SendOutcome::TargetExited => {
-                self.ran = true;
-                self.ends += 1;
+                self.may_have_run = true;
+                self.crashes += 1;
             }
-            SendOutcome::Answered(whole) => {
-                self.ran = true;
-                let is_failure = whole.status == StatusCode::INTERNAL_SERVER_ERROR;
+            SendOutcome::Answered(response) => {
+                self.may_have_run = true;
+                let is_failure = response.status == StatusCode::INTERNAL_SERVER_ERROR;
                 if !is_failure || route.repeat != Repeat::Safe {
-                    return Some(whole);
+                    return Some(response);
                 }
-                self.failure = Some(whole);
+                self.failure = Some(response);
             }
         }
         None
     }
 
-    /// Why no target's answer can be passed on.
+    /// Why there is no response to pass on.
     fn kind(&self) -> Kind {
-        match (self.ran, self.held, self.tried.is_empty()) {
+        match (self.may_have_run, self.is_held_back, self.tried.is_empty()) {
             (true, ..) => Kind::OutcomeUnknown,
             (false, true, _) => Kind::EndsTargets,
             (false, false, true) => Kind::NoTarget,
@@ -218,8 +229,8 @@
     }
 }
 
-/// Sends a request until it is answered, its attempts are used up or its
-/// time is over.
+/// Sends a request until a target responds, the attempts are used up or the
+/// deadline passes. `salt` selects the pool and breaks ties between targets.
 pub async fn run(
     shared: &Rc<Shared>,
     route: &Route,
@@ -227,41 +238,43 @@
     salt: u64,
 ) -> ForwardResult {
     let suspected = suspects::verdict(shared, || plain.digest()) == Verdict::Suspect;
-    let mut attempt = Attempt { ends: u32::from(suspected), ..Attempt::default() };
-    while attempt.may_go_on(route) {
+    let mut state = RequestState { crashes: u32::from(suspected), ..RequestState::default() };
+    while state.may_retry(route) {
         let now = shared.now();
         let left_ms = plain.deadline.since(now).saturating_sub(MARGIN_MS);
         if left_ms == 0 {
             break;
         }
-        // Asked before each send: another instance's target may have ended
-        // under the same request a moment ago.
-        let (target, turn) = match suspects::verdict(shared, || plain.digest()) {
+        // Checked before each attempt: a target may just have crashed under
+        // the same request at another instance.
+        let (target, permit) = match suspects::verdict(shared, || plain.digest()) {
             Verdict::Held(ms) => {
                 shared.meters.held_back.inc();
-                (attempt.held, attempt.come_back_ms) = (true, Some(ms));
+                (state.is_held_back, state.retry_after_ms) = (true, Some(ms));
                 break;
             }
-            Verdict::Free => (choose(shared, route, &attempt.tried, salt), None),
+            Verdict::Free => (choose_target(shared, route, &state.tried, salt), None),
             Verdict::Suspect => {
                 let pool = pick_pool(route, salt).unwrap_or("");
                 if !suspects::is_settled(shared, plain.digest()) {
-                    tokio::time::sleep(PAUSE).await;
+                    tokio::time::sleep(RETRY_DELAY).await;
                     continue;
                 }
-                let Some(turn) = suspects::turn(shared, pool).await else {
-                    tokio::time::sleep(PAUSE).await;
+                let Some(permit) = suspects::turn(shared, pool).await else {
+                    tokio::time::sleep(RETRY_DELAY).await;
                     continue;
                 };
-                // Another instance may have told of it meanwhile.
+                // Another instance may have reported it in the meantime.
                 if suspects::verdict(shared, || plain.digest()) != Verdict::Suspect {
                     continue;
                 }
                 match suspects::trial(shared, pool, plain.digest()) {
-                    Trial::At(target) if has_room(shared, &target) => (Some(*target), Some(turn)),
+                    Trial::At(target) if has_capacity(shared, &target) => {
+                        (Some(*target), Some(permit))
+                    }
                     Trial::At(_) => (None, None),
                     Trial::Nowhere => {
-                        attempt.come_back_ms = Some(LAST_SOUND_PAUSE_MS);
+                        state.retry_after_ms = Some(LAST_HEALTHY_RETRY_MS);
                         break;
                     }
                 }
@@ -271,47 +284,53 @@
             if shared.world.borrow().stopping {
                 break;
             }
-            if let hold::Next::Reject(ms) = hold::next(sight(shared, route, salt, left_ms)) {
-                attempt.come_back_ms = Some(ms);
+            if let hold::Next::Reject(ms) = hold::next(observation(shared, route, salt, left_ms)) {
+                state.retry_after_ms = Some(ms);
                 break;
             }
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(RETRY_DELAY).await;
             continue;
         };
-        let last = attempt.tried.len() + 1 >= route.attempts.max(1) as usize;
+        let last = state.tried.len() + 1 >= route.attempts.max(1) as usize;
         let limit_ms = match route.repeat {
-            Repeat::Safe if !last => patience(route).min(left_ms),
+            Repeat::Safe if !last => attempt_timeout_ms(route).min(left_ms),
             _ => left_ms,
         };
-        let began = plain.began.get();
-        let trip =
-            SendAttempt { plain, target: &target, limit_ms, left_ms, is_trial: turn.is_some() };
-        let sent = send(shared, route, &trip).await;
-        match turn {
-            Some(turn) if matches!(sent, SendOutcome::TargetExited) => turn.keep(),
+        let usage_window = plain.usage_window.get();
+        let attempt =
+            SendAttempt { plain, target: &target, limit_ms, left_ms, is_probe: permit.is_some() };
+        let sent = send(shared, route, &attempt).await;
+        match permit {
+            Some(permit) if matches!(sent, SendOutcome::TargetExited) => permit.keep(),
             other => drop(other),
         }
-        if matches!(sent, SendOutcome::NotRun) && began.is_none() {
-            plain.undo_begin(shared);
+        if matches!(sent, SendOutcome::NotRun) && usage_window.is_none() {
+            plain.uncount_usage(shared);
         }
         if let SendOutcome::Answered(_) = &sent {
             let took_ms = shared.now().since(now);
             shared.world.borrow_mut().sights.answered(&target.id, took_ms);
         }
-        if let Some(whole) = attempt.note(route, target.id, sent) {
-            return ForwardResult::Answered(whole);
+        if let Some(response) = state.record(route, target.id, sent) {
+            return ForwardResult::Answered(response);
         }
     }
-    if let Some(whole) = attempt.failure {
-        return ForwardResult::Answered(whole);
+    if let Some(response) = state.failure {
+        return ForwardResult::Answered(response);
     }
-    let (kind, tried) = (attempt.kind(), &attempt.tried);
-    log::info!("request {} on {}: {}; tried {tried:?}", plain.id, route.name, kind.as_str());
-    ForwardResult::Refused(kind, attempt.come_back_ms)
+    let (kind, tried) = (state.kind(), &state.tried);
+    log::info!(
+        "request {} on route {} failed: {}; sent to {tried:?}",
+        plain.id,
+        route.name,
+        kind.as_str()
+    );
+    ForwardResult::Refused(kind, state.retry_after_ms)
 }
 
-/// What is known of a route's targets where none of them can take a request.
-fn sight(shared: &Shared, route: &Route, salt: u64, left_ms: u64) -> hold::Sight {
+/// The state of a route's targets when none of them can take a request, as
+/// input to admission control.
+fn observation(shared: &Shared, route: &Route, salt: u64, left_ms: u64) -> hold::Sight {
     let world = shared.world.borrow();
     let pool = pick_pool(route, salt).unwrap_or("");
     let usable = || world.fleet.usable(pool).map(|target| target.said.id.as_str());
@@ -320,11 +339,16 @@
     hold::Sight { known: world.fleet_known, usable: usable().count(), usual_ms, left_ms }
 }
 
-fn patience(route: &Route) -> u64 {
-    (route.target_ms * PATIENCE).clamp(PATIENCE_MS.0, PATIENCE_MS.1)
+fn attempt_timeout_ms(route: &Route) -> u64 {
+    (route.target_ms * ATTEMPT_TIMEOUT_FACTOR).clamp(ATTEMPT_TIMEOUT_MS.0, ATTEMPT_TIMEOUT_MS.1)
 }
 
-fn choose(shared: &Shared, route: &Route, tried: &[String], salt: u64) -> Option<Announcement> {
+fn choose_target(
+    shared: &Shared,
+    route: &Route,
+    tried: &[String],
+    salt: u64,
+) -> Option<Announcement> {
     let world = shared.world.borrow();
     let pool = pick_pool(route, salt)?;
     let now = shared.now();
@@ -332,33 +356,34 @@
     let reserved = suspects::reserved(shared, pool);
     let is_reserved = |target: &Announcement| reserved.as_ref() == Some(&target.id);
     let fresh = all().filter(|target| !tried.contains(&target.id) && !is_reserved(target));
-    // Instances that know nothing of any target must not all pick the same.
-    let mine = xxhash_rust::xxh3::xxh3_64(shared.me.as_bytes());
-    let salt = mine ^ salt.wrapping_add(tried.len() as u64);
-    let need = Need { events: 1.0, most_load: MOST_LOAD, sharers: 1.0, salt };
+    // Instances without any load figures must not all choose the same target.
+    let own = xxhash_rust::xxh3::xxh3_64(shared.me.as_bytes());
+    let salt = own ^ salt.wrapping_add(tried.len() as u64);
+    let need = Need { events: 1.0, most_load: MAX_LOAD, sharers: 1.0, salt };
     let choice = world.sights.choose(now, fresh, need);
-    // Where every other one was asked or is avoided, one that was asked
-    // before is better than nobody: the request's time is running.
+    // If every target was tried or is avoided, retry one that was tried
+    // before rather than let the deadline pass.
     let choice = choice.or_else(|| {
         let times = |target: &&Announcement| tried.iter().filter(|id| **id == target.id).count();
-        let usable = all().filter(|target| world.sights.load_of(now, &target.id) < full(target));
+        let usable =
+            all().filter(|target| world.sights.load_of(now, &target.id) < capacity(target));
         usable.min_by_key(times)
     });
     choice.cloned()
 }
 
-/// Whether a target may be asked once more.
-fn has_room(shared: &Shared, target: &Announcement) -> bool {
+/// Whether a target is below its load limit.
+fn has_capacity(shared: &Shared, target: &Announcement) -> bool {
     let world = shared.world.borrow();
-    world.sights.load_of(shared.now(), &target.id) < full(target)
+    world.sights.load_of(shared.now(), &target.id) < capacity(target)
 }
 
-/// Requests at a target from which on it is not asked.
-fn full(target: &Announcement) -> f64 {
-    f64::from(target.slots.max(1)) * MOST_LOAD
+/// The number of requests at which a target counts as full.
+fn capacity(target: &Announcement) -> f64 {
+    f64::from(target.slots.max(1)) * MAX_LOAD
 }
 
-/// A pool of the route, by weight.
+/// Picks a pool of the route in proportion to the pools' weights.
 fn pick_pool(route: &Route, salt: u64) -> Option<&str> {
     let total: u64 = route.pools.iter().map(|(_, weight)| u64::from(*weight)).sum();
     if total == 0 {
@@ -374,50 +399,52 @@
     None
 }
 
-/// One send of a request.
+/// One attempt to send a request.
 struct SendAttempt<'a> {
     plain: &'a PlainRequest,
     target: &'a Announcement,
-    /// How long the answer may take, in milliseconds.
+    /// Time-out of the attempt, in milliseconds.
     limit_ms: u64,
-    /// What is left of the caller's time, in milliseconds.
+    /// Time left until the caller's deadline, in milliseconds.
     left_ms: u64,
-    /// It is a suspect's, which has the turn.
-    is_trial: bool,
+    /// The request is a suspect and holds the pool's permit for an isolated
+    /// probe.
+    is_probe: bool,
 }
 
-async fn send(shared: &Rc<Shared>, route: &Route, trip: &SendAttempt<'_>) -> SendOutcome {
-    let &SendAttempt { plain, target, limit_ms, left_ms, .. } = trip;
+async fn send(shared: &Rc<Shared>, route: &Route, attempt: &SendAttempt<'_>) -> SendOutcome {
+    let &SendAttempt { plain, target, limit_ms, left_ms, .. } = attempt;
     shared.world.borrow_mut().sights.sent(&target.id);
-    let _count = Counted { shared, id: &target.id };
+    let _in_flight = InFlight { shared, id: &target.id };
     let limit = Duration::from_millis(limit_ms);
     let started = shared.now();
-    let wanted = || {
+    let still_allowed = || {
         let may_reach = shared.may_reach(target);
         if may_reach {
-            plain.begin(shared);
+            plain.count_usage(shared);
         }
         may_reach
     };
     let first = request(shared, plain, target, left_ms);
-    let mut answer = shared.pool.send_if(target.address, first, limit, wanted).await;
-    // A kept connection that had ended says nothing about a target that
-    // lives; what may be repeated goes out again at once, on another one.
+    let mut answer = shared.pool.send_if(target.address, first, limit, still_allowed).await;
+    // The target may simply have closed an idle connection. If the request is
+    // safe to repeat and the target is alive, send it again at once on a new
+    // connection.
     let may_have_run = matches!(answer, Err(Error::StaleConnection));
     if may_have_run && route.repeat == Repeat::Safe {
-        note_unanswered(shared, plain, target, &Error::StaleConnection);
-        if look(shared, trip).await {
+        record_no_response(shared, plain, target, &Error::StaleConnection);
+        if check_exit(shared, attempt).await {
             return SendOutcome::TargetExited;
         }
         shared.pool.forget(target.address);
         let again = request(shared, plain, target, left_ms);
-        answer = shared.pool.send_if(target.address, again, limit, wanted).await;
+        answer = shared.pool.send_if(target.address, again, limit, still_allowed).await;
     }
     match answer {
         Ok(answer) => {
             let spent = shared.now().since(started);
             let left = Duration::from_millis(limit_ms.saturating_sub(spent).max(1));
-            take(shared, trip, answer, left).await
+            read_response(shared, attempt, answer, left).await
         }
         Err(Error::Cancelled) => {
             if may_have_run {
@@ -427,49 +454,50 @@
             }
         }
         Err(error) => {
-            note_unanswered(shared, plain, target, &error);
+            record_no_response(shared, plain, target, &error);
             if error != Error::StaleConnection {
                 let now = shared.now();
                 shared.world.borrow_mut().sights.broke(now, &target.id);
             }
             if error.is_not_sent() {
-                // The send before it may have run.
+                // The first send, on the stale connection, may have run.
                 return if may_have_run { SendOutcome::MayHaveRun } else { SendOutcome::NotRun };
             }
-            broken(shared, trip, &error).await
+            failed_exchange(shared, attempt, &error).await
         }
     }
 }
 
-/// Notes a send without an answer, so that the same request can be found at
-/// other targets and instances.
-fn note_unanswered(shared: &Shared, plain: &PlainRequest, target: &Announcement, error: &Error) {
+/// Counts and logs an attempt without a response. The log line has the
+/// request's digest, by which it can be correlated across targets and
+/// instances.
+fn record_no_response(shared: &Shared, plain: &PlainRequest, target: &Announcement, error: &Error) {
     shared.meters.unanswered.with_label_values(&[error.as_str()]).inc();
     let life = target.life();
     log::info!("request {} ({}) at {life}: {error}", plain.id, plain.digest());
 }
 
-/// Counts a request as at its target for as long as it lives, also where the
-/// caller leaves in the middle.
-struct Counted<'a> {
+/// Counts a request as in flight at its target until dropped, which also
+/// covers a caller that disconnects.
+struct InFlight<'a> {
     shared: &'a Shared,
     id: &'a str,
 }
 
-impl Drop for Counted<'_> {
+impl Drop for InFlight<'_> {
     fn drop(&mut self) {
         let now = self.shared.now();
         self.shared.world.borrow_mut().sights.ended(now, self.id);
     }
 }
 
-async fn take(
+async fn read_response(
     shared: &Rc<Shared>,
-    trip: &SendAttempt<'_>,
+    attempt: &SendAttempt<'_>,
     answer: IncomingResponse,
     left: Duration,
 ) -> SendOutcome {
-    let &SendAttempt { plain, target, .. } = trip;
+    let &SendAttempt { plain, target, .. } = attempt;
     let names = &shared.codec.headers;
     let now = shared.now();
     if let Some(load) = answer.header(&names.load).and_then(shared.codec.load) {
@@ -480,19 +508,23 @@
         || status == StatusCode::MISDIRECTED_REQUEST;
     if not_run {
         shared.world.borrow_mut().sights.full(now, &target.id);
-        log::debug!("request {} at {}: not run, {status}", plain.id, target.id);
+        log::debug!("request {} rejected by {} without running: {status}", plain.id, target.id);
         return SendOutcome::NotRun;
     }
-    let mine = answer.header(&names.request_id) == Some(plain.id.as_str());
+    let own = answer.header(&names.request_id) == Some(plain.id.as_str());
     let signed = answer.head.headers.contains_key(&names.signature);
-    if !mine || !signed || answer.head.headers.contains_key(header::CONTENT_ENCODING) {
-        // Dropping the answer closes the connection: whatever else is on it
-        // belongs to nobody.
-        log::info!("request {} at {}: an answer that is not its own", plain.id, target.id);
+    if !own || !signed || answer.head.headers.contains_key(header::CONTENT_ENCODING) {
+        // Dropping the response closes the connection, whose remaining data
+        // cannot be attributed to any request.
+        log::info!(
+            "request {} at {}: response has another id, no signature or a content encoding",
+            plain.id,
+            target.id
+        );
         return SendOutcome::MayHaveRun;
     }
     let mut headers = answer.head.headers.clone();
-    match answer.read_body(ANSWER_BYTES, left).await {
+    match answer.read_body(MAX_RESPONSE_BYTES, left).await {
         Ok(body) => {
             for name in HOP_BY_HOP.iter().chain([&header::CONTENT_LENGTH]) {
                 headers.remove(name);
@@ -502,27 +534,34 @@
             SendOutcome::Answered(TargetResponse { status, headers, body })
         }
         Err(error) => {
-            note_unanswered(shared, plain, target, &error);
-            broken(shared, trip, &error).await
+            record_no_response(shared, plain, target, &error);
+            failed_exchange(shared, attempt, &error).await
         }
     }
 }
 
-/// What became of a send that broke. A slow target is no ended one.
-async fn broken(shared: &Rc<Shared>, trip: &SendAttempt<'_>, error: &Error) -> SendOutcome {
+/// The result of an attempt whose exchange failed. A time-out alone does not
+/// mean that the target exited.
+async fn failed_exchange(
+    shared: &Rc<Shared>,
+    attempt: &SendAttempt<'_>,
+    error: &Error,
+) -> SendOutcome {
     let is_broken = matches!(error, Error::StaleConnection | Error::Broken(_));
-    if is_broken && look(shared, trip).await {
+    if is_broken && check_exit(shared, attempt).await {
         SendOutcome::TargetExited
     } else {
         SendOutcome::MayHaveRun
     }
 }
 
-/// Whether the target has ended under a send.
-async fn look(shared: &Rc<Shared>, trip: &SendAttempt<'_>) -> bool {
-    let mine = shared.world.borrow().sights.of(&trip.target.id).map(|sight| sight.mine);
-    let is_alone = trip.is_trial && mine == Some(1);
-    suspects::look(shared, trip.target, trip.plain.digest(), is_alone).await
+/// Checks whether the target exited during an attempt, and records that
+/// against the request if so.
+async fn check_exit(shared: &Rc<Shared>, attempt: &SendAttempt<'_>) -> bool {
+    let own =
+        shared.world.borrow().sights.of(&attempt.target.id).map(|observation| observation.mine);
+    let is_alone = attempt.is_probe && own == Some(1);
+    suspects::look(shared, attempt.target, attempt.plain.digest(), is_alone).await
 }
 
 fn request(
--- a/crates/hollywell/src/entry/ingress.rs
+++ b/crates/hollywell/src/entry/ingress.rs
@@ -1,7 +1,8 @@
-//! Callers' connections: each request is told apart, handed on and answered.
+//! The HTTP listener for callers: classifies each request, dispatches it and
+//! writes the response.
 //!
-//! A caller that leaves ends its request's future, and with it whatever the
-//! request was doing at a target.
+//! When a caller disconnects, hyper drops the request's future, which also
+//! cancels the request's exchange with a target.
 
 use std::{
     cell::{Cell, OnceCell},
@@ -32,32 +33,32 @@
     error::Kind,
 };
 
-/// How long a caller's connection may be idle before a configuration is
-/// known, in milliseconds.
-const IDLE_MS: u64 = 15_000;
-/// Body limit before a configuration is known, in bytes.
-const BODY_BYTES: usize = 32 << 20;
-/// Longest that a read of results is held, in milliseconds.
-const HOLD_MS: u64 = 5_000;
-/// When a refused caller is told to come back where nothing better is known,
-/// in milliseconds: long enough for a load figure or a reading of the store to
-/// be renewed, short against a deadline.
-const COME_BACK_MS: u64 = 150;
-/// Most by which the time to come back is stretched.
-const COME_BACK_SPREAD: f64 = 1.25;
-/// Deadline of a caller that states none and whose route states none.
-const DEADLINE_MS: u64 = 10_000;
+/// Idle time-out of callers' connections until a configuration is loaded, in
+/// milliseconds.
+const DEFAULT_IDLE_MS: u64 = 15_000;
+/// Limit on request bodies where the configuration sets none, in bytes.
+const DEFAULT_MAX_BODY_BYTES: usize = 32 << 20;
+/// Longest wait of a long poll for results, in milliseconds.
+const MAX_WAIT_MS: u64 = 5_000;
+/// Default `Retry-After` of a refused request, in milliseconds: long enough
+/// for a target's load or a read of the store to be refreshed, short compared
+/// with a deadline.
+const DEFAULT_RETRY_AFTER_MS: u64 = 150;
+/// Upper bound of the random factor applied to `Retry-After`.
+const MAX_RETRY_AFTER_JITTER: f64 = 1.25;
+/// Deadline if neither the caller nor the route sets one, in milliseconds.
+const DEFAULT_DEADLINE_MS: u64 = 10_000;
 
 type HttpResponse = Response<Full<Bytes>>;
 
-/// Requests that are being answered, for an orderly stop.
+/// Counts requests in progress, for a graceful shutdown.
 #[derive(Debug, Default)]
 pub struct OpenRequests {
     requests: Cell<usize>,
 }
 
 impl OpenRequests {
-    /// How many requests are being answered.
+    /// The parse_number of requests in progress.
     #[must_use]
     pub fn count(&self) -> usize {
         self.requests.get()
@@ -79,7 +80,7 @@
     }
 }
 
-/// Serves callers until the instance stops.
+/// Accepts callers' connections until the instance stops.
 pub async fn serve(shared: Rc<Shared>, listener: TcpListener, open: Rc<OpenRequests>) {
     loop {
         match listener.accept().await {
@@ -87,7 +88,7 @@
                 tokio::task::spawn_local(connection(shared.clone(), stream, open.clone()));
             }
             Err(error) => {
-                log::warn!("accepting a connection: {error}");
+                log::warn!("failed to accept a connection: {error}");
                 tokio::time::sleep(Duration::from_millis(20)).await;
             }
         }
@@ -96,16 +97,16 @@
 
 async fn connection(shared: Rc<Shared>, stream: TcpStream, open: Rc<OpenRequests>) {
     if let Err(error) = stream.set_nodelay(true) {
-        log::debug!("a connection: {error}");
+        log::debug!("failed to set TCP_NODELAY on a connection: {error}");
     }
     let idle_ms = {
         let world = shared.world.borrow();
-        world.plan.as_ref().map_or(IDLE_MS, |plan| plan.idle_ms.max(plan.header_ms))
+        world.plan.as_ref().map_or(DEFAULT_IDLE_MS, |plan| plan.idle_ms.max(plan.header_ms))
     };
     let service = service_fn(|request| {
         let (shared, open) = (shared.clone(), open.clone());
         async move {
-            let _entered = OpenRequestGuard::new(&open);
+            let _guard = OpenRequestGuard::new(&open);
             let mut response = answer(&shared, request).await;
             if shared.world.borrow().stopping {
                 let close = HeaderValue::from_static("close");
@@ -115,8 +116,8 @@
         }
     });
     let mut builder = http1::Builder::new();
-    // The library's limit on a head runs from the end of the answer before,
-    // so it must leave room for an idle connection too.
+    // hyper's time-out for reading a head starts when the previous response
+    // ends, so it has to cover the connection's idle time as well.
     builder.timer(TokioTimer::new()).header_read_timeout(Duration::from_millis(idle_ms.max(1)));
     builder.keep_alive(true).max_buf_size(64 << 10);
     let connection = builder.serve_connection(TokioIo::new(stream), service);
@@ -130,67 +131,68 @@
         }
     };
     if let Err(error) = ended {
-        log::debug!("a connection ended: {error}");
+        log::debug!("a connection failed: {error}");
     }
 }
 
 async fn answer(shared: &Rc<Shared>, request: Request<Incoming>) -> HttpResponse {
     let arrived = shared.now();
-    let ask = (shared.codec.operation)(request.method(), request.uri());
-    let label = match &ask {
+    let operation = (shared.codec.operation)(request.method(), request.uri());
+    let label = match &operation {
         Operation::Ready => "ready",
         Operation::Results { .. } => "results",
         Operation::SampleBody { .. } => "sample_body",
         Operation::EndJob { .. } => "end_job",
         Operation::Routed => "routed",
     };
-    let response = answer_ask(shared, request, ask, arrived).await;
+    let response = dispatch(shared, request, operation, arrived).await;
     let seconds = shared.now().since(arrived) as f64 / 1_000.0;
     shared.meters.answer_seconds.with_label_values(&[label]).observe(seconds);
     shared.meters.answers.with_label_values(&[label, response.status().as_str()]).inc();
     response
 }
 
-async fn answer_ask(
+async fn dispatch(
     shared: &Rc<Shared>,
     request: Request<Incoming>,
-    ask: Operation,
+    operation: Operation,
     arrived: Time,
 ) -> HttpResponse {
     let headers = request.headers();
-    match ask {
+    match operation {
         Operation::Ready => ready(shared),
         Operation::Routed => routed(shared, request, arrived).await,
         Operation::Results { job, after } => {
             let names = &shared.codec.headers;
-            let hold = number(headers, &names.wait).unwrap_or(0).min(HOLD_MS);
-            let hold = Duration::from_millis(hold);
-            let read = async |caller: &_| jobs::results(shared, caller, &job, after, hold).await;
-            by_caller(shared, headers, read).await
+            let max_wait = parse_number(headers, &names.wait).unwrap_or(0).min(MAX_WAIT_MS);
+            let max_wait = Duration::from_millis(max_wait);
+            let read =
+                async |caller: &_| jobs::results(shared, caller, &job, after, max_wait).await;
+            with_caller(shared, headers, read).await
         }
         Operation::SampleBody { job, sample } => {
             let read = async |caller: &_| jobs::sample_body(shared, caller, &job, &sample).await;
-            by_caller(shared, headers, read).await
+            with_caller(shared, headers, read).await
         }
         Operation::EndJob { job } => {
-            by_caller(shared, headers, async |caller| jobs::end(shared, caller, &job).await).await
+            with_caller(shared, headers, async |caller| jobs::end(shared, caller, &job).await).await
         }
     }
 }
 
-/// Does what is asked about a job for whoever asks, if that is known.
-async fn by_caller(
+/// Identifies the caller and, if that succeeds, runs an operation on a job.
+async fn with_caller(
     shared: &Rc<Shared>,
     headers: &http::HeaderMap,
-    job_call: impl AsyncFnOnce(&Caller) -> JobReply,
+    run_operation: impl AsyncFnOnce(&Caller) -> JobReply,
 ) -> HttpResponse {
     match caller::identify_for_job(shared, headers).await {
-        Ok(caller) => reply(shared, job_call(&caller).await),
+        Ok(caller) => reply(shared, run_operation(&caller).await),
         Err(kind) => refuse(shared, kind),
     }
 }
 
-/// Whether this instance takes callers.
+/// Whether this instance is ready to serve callers.
 #[must_use]
 pub fn is_ready(shared: &Shared) -> bool {
     let world = shared.world.borrow();
@@ -203,7 +205,7 @@
         && !world.fleet.store_away
 }
 
-/// All meters as text.
+/// Responds with all metrics in the text exposition format.
 #[must_use]
 pub fn metrics(shared: &Shared) -> HttpResponse {
     let meters = &shared.meters;
@@ -220,13 +222,13 @@
     match meters.text() {
         Ok(text) => Response::new(Full::new(Bytes::from(text))),
         Err(error) => {
-            log::error!("metrics cannot be written: {error}");
+            log::error!("failed to encode the metrics: {error}");
             refuse(shared, Kind::Internal)
         }
     }
 }
 
-/// Answers whether this instance takes callers.
+/// Responds to a readiness check.
 #[must_use]
 pub fn ready(shared: &Shared) -> HttpResponse {
     let ok = is_ready(shared);
@@ -235,9 +237,10 @@
     response
 }
 
-/// The configuration, once it is known, and what is known against requests
-/// with it: an instance that starts must not end targets that others spare.
-fn known_plan(shared: &Shared) -> Option<Rc<Plan>> {
+/// The configuration, once it and the poison state are loaded. Without the
+/// poison state, an instance that starts would send poison requests that the
+/// other instances max_wait back, and crash their targets.
+fn loaded_configuration(shared: &Shared) -> Option<Rc<Plan>> {
     let world = shared.world.borrow();
     world.plan.clone().filter(|_| world.poison_known)
 }
@@ -248,24 +251,25 @@
     let host = host.to_owned();
     let (route, caller) =
         match caller::identify_for_route(shared, &host, head.uri.path(), &head.headers).await {
-            Ok(judged) => judged,
+            Ok(identified) => identified,
             Err(kind) => return refuse(shared, kind),
         };
-    let Some(plan) = known_plan(shared) else {
+    let Some(plan) = loaded_configuration(shared) else {
         return refuse(shared, Kind::StoreAway);
     };
     let names = &shared.codec.headers;
     if plan.organisations.is_some() {
-        // The key goes no further, and who asks is not the caller's to say.
+        // Targets must not see the API key, and a caller must not choose the
+        // organisation that targets are told.
         head.headers.remove(header::AUTHORIZATION);
         head.headers.remove(&names.organisation);
     }
-    let limit = if plan.body_bytes == 0 { BODY_BYTES } else { plan.body_bytes };
+    let limit = if plan.body_bytes == 0 { DEFAULT_MAX_BODY_BYTES } else { plan.body_bytes };
     let body = match Limited::new(body, limit).collect().await {
         Ok(body) => body.to_bytes(),
         Err(error) => {
             let too_large = error.downcast_ref::<http_body_util::LengthLimitError>().is_some();
-            log::info!("a body on {}: {error}", route.name);
+            log::info!("failed to read a request body on route {}: {error}", route.name);
             return refuse(shared, if too_large { Kind::TooLarge } else { Kind::Malformed });
         }
     };
@@ -276,10 +280,11 @@
     if route.repeat == Repeat::Batch {
         return submit(shared, &caller, &id, &host, head.uri.path(), &body).await;
     }
-    let timeout_ms = if route.timeout_ms == 0 { DEADLINE_MS } else { route.timeout_ms };
-    let deadline_ms = number(&head.headers, &names.deadline).unwrap_or(timeout_ms).min(timeout_ms);
+    let timeout_ms = if route.timeout_ms == 0 { DEFAULT_DEADLINE_MS } else { route.timeout_ms };
+    let deadline_ms =
+        parse_number(&head.headers, &names.deadline).unwrap_or(timeout_ms).min(timeout_ms);
     let target = head.uri.path_and_query().map_or("/", |path| path.as_str()).to_owned();
-    let plain = PlainRequest {
+    let request = PlainRequest {
         method: head.method,
         target,
         host,
@@ -288,31 +293,36 @@
         headers: head.headers,
         body,
         deadline: arrived.after(deadline_ms),
-        began: Cell::new(None),
+        usage_window: Cell::new(None),
         digest: OnceCell::new(),
     };
-    forwarded(shared, &plan, &route, &plain).await
+    forwarded(shared, &plan, &route, &request).await
 }
 
 async fn forwarded(
     shared: &Rc<Shared>,
     plan: &Plan,
     route: &Route,
-    plain: &PlainRequest,
+    request: &PlainRequest,
 ) -> HttpResponse {
-    let salt = xxhash_rust::xxh3::xxh3_64(plain.id.as_bytes());
-    match forward::run(shared, route, plain, salt).await {
-        ForwardResult::Answered(whole) => {
-            let mut response = Response::new(Full::new(whole.body));
-            *response.status_mut() = whole.status;
-            *response.headers_mut() = whole.headers;
+    let salt = xxhash_rust::xxh3::xxh3_64(request.id.as_bytes());
+    match forward::run(shared, route, request, salt).await {
+        ForwardResult::Answered(response_from_target) => {
+            let mut response = Response::new(Full::new(response_from_target.body));
+            *response.status_mut() = response_from_target.status;
+            *response.headers_mut() = response_from_target.headers;
             response
         }
-        ForwardResult::Refused(kind, come_back_ms) => {
-            log::info!("request {} refused: {} in {}", plain.id, kind.as_str(), plan.version);
+        ForwardResult::Refused(kind, retry_after_ms) => {
+            log::info!(
+                "request {} refused under configuration {}: {}",
+                request.id,
+                plan.version,
+                kind.as_str()
+            );
             let refusal = refuse(shared, kind);
-            match come_back_ms {
-                Some(ms) => come_back(refusal, ms),
+            match retry_after_ms {
+                Some(ms) => set_retry_after(refusal, ms),
                 None => refusal,
             }
         }
@@ -335,8 +345,8 @@
         }
     };
     if *caller != Caller::Unrestricted {
-        let own = [header::AUTHORIZATION.as_str(), shared.codec.headers.organisation.as_str()];
-        decoded.drop_headers(&own);
+        let reserved = [header::AUTHORIZATION.as_str(), shared.codec.headers.organisation.as_str()];
+        decoded.drop_headers(&reserved);
     }
     let done = jobs::submit(shared, caller, id, host, path, &decoded).await;
     let accepted = done == JobReply::Done;
@@ -352,11 +362,11 @@
         JobReply::Done => Response::new(Full::default()),
         JobReply::Body(body) => Response::new(Full::new(body)),
         JobReply::Rejected | JobReply::Unavailable => refuse(shared, Kind::StoreAway),
-        JobReply::StoreFull(ms) => come_back(refuse(shared, Kind::StoreFull), ms),
+        JobReply::StoreFull(ms) => set_retry_after(refuse(shared, Kind::StoreFull), ms),
         JobReply::OutcomeUnknown => refuse(shared, Kind::OutcomeUnknown),
         JobReply::NotFound => refuse(shared, Kind::NoRoute),
         JobReply::Malformed(why) => {
-            log::info!("refused: {why}");
+            log::info!("request refused as malformed: {why}");
             refuse(shared, Kind::Malformed)
         }
     }
@@ -368,30 +378,30 @@
     *response.status_mut() =
         StatusCode::from_u16(answer.status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
     let headers = response.headers_mut();
-    let says_so = answer.status >= 429 || kind == Kind::UnknownCaller;
-    if answer.outcome == crate::error::Outcome::NotRun && says_so {
+    let has_not_run_header = answer.status >= 429 || kind == Kind::UnknownCaller;
+    if answer.outcome == crate::error::Outcome::NotRun && has_not_run_header {
         headers.insert(shared.codec.headers.not_run.clone(), HeaderValue::from_static("1"));
     }
     if kind == Kind::UnknownCaller {
         headers.insert(header::WWW_AUTHENTICATE, HeaderValue::from_static("Bearer"));
     }
     match answer.retry_after_s {
-        Some(_) => come_back(response, COME_BACK_MS),
+        Some(_) => set_retry_after(response, DEFAULT_RETRY_AFTER_MS),
         None => response,
     }
 }
 
-/// Tells a caller when to come back, a little spread, so that those who were
-/// refused together do not return together.
-fn come_back(mut response: HttpResponse, ms: u64) -> HttpResponse {
-    let seconds = ms as f64 / 1_000.0 * rand::random_range(1.0..=COME_BACK_SPREAD);
+/// Sets `Retry-After`, with jitter, so that callers that were refused together
+/// do not retry together.
+fn set_retry_after(mut response: HttpResponse, ms: u64) -> HttpResponse {
+    let seconds = ms as f64 / 1_000.0 * rand::random_range(1.0..=MAX_RETRY_AFTER_JITTER);
     match HeaderValue::from_str(&format!("{seconds:.2}")) {
         Ok(value) => drop(response.headers_mut().insert(header::RETRY_AFTER, value)),
-        Err(error) => log::error!("{seconds} as a header: {error}"),
+        Err(error) => log::error!("{seconds} is not a valid Retry-After value: {error}"),
     }
     response
 }
 
-fn number(headers: &http::HeaderMap, name: &http::HeaderName) -> Option<u64> {
+fn parse_number(headers: &http::HeaderMap, name: &http::HeaderName) -> Option<u64> {
     headers.get(name)?.to_str().ok()?.trim().parse().ok()
 }
--- a/crates/hollywell/src/entry/jobs.rs
+++ b/crates/hollywell/src/entry/jobs.rs
@@ -465,7 +465,7 @@
             headers: http::HeaderMap::new(),
             body: scorer.body.clone(),
             deadline: shared.now().after(SCORE_MS),
-            began: Cell::new(None),
+            usage_window: Cell::new(None),
             digest: OnceCell::new(),
         };
         // Reading the request may have taken long.
