--- a/crates/hollywell/src/entry/codec.rs
+++ b/crates/hollywell/src/entry/codec.rs
@@ -1,8 +1,8 @@
-//! How the platform spells what the product says: names of headers, and
-//! functions that decode and encode bodies. An adapter fills it in.
+//! The platform's wire formats: names of headers, and functions that decode and
+//! encode bodies. An adapter provides them.
 //!
-//! Plain function pointers: an adapter has nothing to remember and nothing
-//! to decide.
+//! They are plain function pointers, because an adapter has no state and takes
+//! no decisions.
 
 use bytes::Bytes;
 use http::{HeaderName, Method};
@@ -18,66 +18,66 @@
 /// Names of headers.
 #[derive(Clone, Debug)]
 pub struct Headers {
-    /// The id of a caller's attempt; targets echo it.
+    /// The id that a caller gives each attempt; targets echo it.
     pub request_id: HeaderName,
-    /// Milliseconds that the sender will wait.
+    /// How long the sender waits for the response, in milliseconds.
     pub deadline: HeaderName,
-    /// The target's incarnation that may run the request.
+    /// The incarnation of the target that may run the request.
     pub target: HeaderName,
-    /// A target's signature of its answer.
+    /// A target's signature of its response.
     pub signature: HeaderName,
-    /// Marks an answer of a target that did not run the request.
+    /// Marks a response of a target that did not run the request.
     pub not_run: HeaderName,
     /// A target's load.
     pub load: HeaderName,
-    /// The version of the weights under which a stream begins.
+    /// The version of the weights with which a stream begins.
     pub version: HeaderName,
-    /// The last event that the asker has.
+    /// The last event that the client received, to resume a stream after it.
     pub last_event: HeaderName,
-    /// Rank among the target's requests.
+    /// The request's priority at the target.
     pub priority: HeaderName,
-    /// How long a read may be held.
+    /// The longest wait of a long poll, in milliseconds.
     pub wait: HeaderName,
-    /// The organisation that asks, for targets.
+    /// The caller's organisation, as targets are told.
     pub organisation: HeaderName,
-    /// Who holds a duty.
+    /// The holder of the lease of a duty.
     pub holder: HeaderName,
-    /// The holder's fencing number.
+    /// The holder's fencing token.
     pub fence: HeaderName,
 }
 
-/// What a caller asks for.
+/// The operation that a caller requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Operation {
-    /// Whether this instance takes callers.
+    /// Checks whether this instance is ready.
     Ready,
-    /// A job's results from a position on.
+    /// Reads a job's results from a position.
     Results {
         /// The job.
         job: String,
-        /// The first position wanted.
+        /// The number of results to skip.
         after: usize,
     },
-    /// The body of a sample that is not listed.
+    /// Reads the body of a sample that has no result yet.
     SampleBody {
         /// The job.
         job: String,
         /// The sample.
         sample: String,
     },
-    /// To end a job.
+    /// Ends a job.
     EndJob {
         /// The job.
         job: String,
     },
-    /// Whatever the routes say.
+    /// Any other request, handled according to the routes.
     Routed,
 }
 
 /// A page of a job's results.
 #[derive(Clone, Debug)]
 pub struct Results {
-    /// Samples in the job.
+    /// The number of samples in the job.
     pub total: usize,
     /// The position after the last of these results.
     pub next: usize,
@@ -85,12 +85,12 @@
     pub results: Vec<Delivered>,
 }
 
-/// A result with its text.
+/// A sample's result with its text.
 #[derive(Clone, Debug)]
 pub struct Delivered {
     /// The result.
     pub outcome: Outcome,
-    /// The data of all events, in order, separated by line feeds.
+    /// The data of all events in order, separated by line feeds.
     pub text: Bytes,
 }
 
@@ -101,95 +101,96 @@
     pub model: String,
     /// The version to load.
     pub version: u64,
-    /// Who orders.
+    /// The holder of the lease under which the order is given.
     pub holder: String,
-    /// The fencing number.
+    /// The fencing token of the lease.
     pub fence: u64,
-    /// Orders that the engine has accepted so far, as it reported.
+    /// The number of orders that the engine has accepted, as it reported last.
     pub expected: u64,
 }
 
-/// An engine's report about itself.
+/// An engine's status report.
 #[derive(Clone, Debug)]
 pub struct Report {
-    /// Versions of its models.
+    /// The loaded version of each model.
     pub versions: std::collections::BTreeMap<String, u64>,
-    /// An order is being carried out.
+    /// An order is in progress.
     pub busy: bool,
-    /// Orders accepted since its start.
+    /// The number of orders accepted since the engine started.
     pub orders: u64,
-    /// Unix millisecond of its start, where it tells.
+    /// When the engine started, in Unix milliseconds, if it reports that.
     pub born: Option<u64>,
 }
 
-/// A record of the operator's topic.
+/// A command that the operator wrote to its topic.
 #[derive(Clone, Debug)]
 pub enum Command {
-    /// A whole configuration.
+    /// A complete configuration.
     Configuration(Plan),
-    /// A trainer's newest weights.
+    /// The newest version of a model's weights.
     Version {
         /// The model.
         model: String,
-        /// Its version.
+        /// The version.
         version: u64,
     },
-    /// Whether a failure domain's targets are to get nothing new.
+    /// Whether a failure domain is evacuated: its targets get no new requests.
     Evacuation {
         /// The failure domain.
         domain: String,
-        /// False where that was taken back.
+        /// False if the evacuation was cancelled.
         is_on: bool,
     },
 }
 
-/// What a record of the operator's topic says to this product, if anything, or
-/// why it cannot be understood.
+/// The command in a record of the operator's topic; `None` if the record does
+/// not concern this product, or why it cannot be decoded.
 pub type DecodedCommand = Result<Option<Command>, String>;
 
-/// One event of a stream of text.
+/// One event of a stream of generated text.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Chunk {
-    /// Its number, counted from 1.
+    /// The event's number, counted from 1.
     pub id: u64,
-    /// Its data.
+    /// The text.
     pub data: String,
-    /// The version of the weights from this event on, if it changes.
+    /// The version of the weights from this event on, if it changed.
     pub version: Option<u64>,
 }
 
-/// How the platform spells it.
+/// The platform's names and formats.
 #[derive(Clone, Debug)]
 pub struct Codec {
     /// Names of headers.
     pub headers: Headers,
-    /// The topic of the operator's wishes.
+    /// The topic that holds the operator's commands.
     pub operator_topic: &'static str,
-    /// The topic of the targets' announcements.
+    /// The topic that holds the targets' announcements.
     pub announcements: &'static str,
-    /// What a method and a path with its query ask for.
+    /// Maps a method and a path with its query to an operation.
     pub operation: fn(&Method, &http::Uri) -> Operation,
-    /// Decodes a submission.
+    /// Decodes the submission of a job.
     pub submission: fn(&[u8]) -> Result<Submission, String>,
     /// Encodes a page of results.
     pub results: fn(&Results) -> Bytes,
-    /// Decodes a record of the operator's topic, without a value where its
-    /// key was dropped; `None` if it says nothing to this product.
+    /// Decodes a record of the operator's topic from its key and value. The
+    /// value is `None` if the key was deleted.
     pub command: fn(&str, Option<&[u8]>) -> DecodedCommand,
-    /// Decodes an announcement.
+    /// Decodes a target's announcement from its key and value.
     pub announcement: fn(&str, &[u8]) -> Result<Announcement, String>,
-    /// Decodes a load header.
+    /// Decodes the value of the load header.
     pub load: fn(&str) -> Option<Load>,
-    /// Decodes one event of a stream of text: its lines.
+    /// Decodes the lines of one event of a stream of text.
     pub chunk: fn(&str) -> Result<Chunk, String>,
-    /// Where usage is reported.
+    /// The path to which usage is reported.
     pub usage_path: &'static str,
-    /// Encodes a window's usage; the same counts give the same bytes.
+    /// Encodes a window's usage. The encoding is deterministic: the same counts
+    /// give the same bytes.
     pub usage: fn(u64, &Counts) -> Bytes,
-    /// Where and how an order is sent.
+    /// The path and body of an order.
     pub order: fn(&VersionOrder) -> (&'static str, Bytes),
-    /// Where an engine reports.
+    /// The path of an engine's status report.
     pub report_path: &'static str,
-    /// Decodes a report.
+    /// Decodes a status report.
     pub report: fn(&[u8]) -> Result<Report, String>,
 }
--- a/crates/hollywell/src/entry/jobs.rs
+++ b/crates/hollywell/src/entry/jobs.rs
@@ -1,8 +1,7 @@
-//! Batch jobs at this instance: taking them in, reading them, ending them,
-//! and scoring their samples.
+//! Operations on batch jobs: submission, reading results, ending a job, and
+//! scoring its samples.
 //!
-//! What it leaves out: bringing results to the store
-//! ([`crate::entry::outbox`]).
+//! Results are written to the store by [`crate::entry::outbox`].
 
 use std::{
     cell::{Cell, OnceCell},
@@ -34,55 +33,57 @@
     error::Kind,
 };
 
-/// Most bytes of results in one answer, of the 1 MB that callers take; the
-/// rest is for names and escapes.
-const PAGE_BYTES: usize = 700_000;
-/// What a result takes in an answer besides its text, at most.
-const OVERHEAD_BYTES: usize = 300;
-/// How long to look for an append's records whose answer was lost.
-const LOOK_FOR: Duration = Duration::from_millis(2_500);
-/// Pause between looks.
-const LOOK_PAUSE: Duration = Duration::from_millis(150);
-/// Time that a scoring request is given, in milliseconds.
-const SCORE_MS: u64 = 800;
-/// When to come back after the store itself had no room, in milliseconds:
-/// records are dropped and logs trimmed each second.
-const FULL_MS: u64 = 2_000;
-/// Pause before a scoring request is sent again.
-const SCORE_PAUSE: Duration = Duration::from_millis(30);
-/// The same where no target could take it: each try writes a line of log.
-const SCORE_REFUSED_PAUSE: Duration = Duration::from_millis(100);
+/// Limit on the results in one response, in bytes. Callers accept 1 MB; the
+/// rest is left for field names and JSON escapes.
+const MAX_PAGE_BYTES: usize = 700_000;
+/// Upper bound of a result's size in a response apart from its text, in bytes.
+const MAX_OVERHEAD_BYTES: usize = 300;
+/// How long to poll for the record of an append whose response was lost.
+const CONFIRM_TIMEOUT: Duration = Duration::from_millis(2_500);
+/// Delay between these polls.
+const CONFIRM_INTERVAL: Duration = Duration::from_millis(150);
+/// Deadline of a scoring request, in milliseconds.
+const SCORE_TIMEOUT_MS: u64 = 800;
+/// Retry delay for a job that the store rejected because it was full, in
+/// milliseconds: records are deleted and logs trimmed each second.
+const STORE_FULL_RETRY_MS: u64 = 2_000;
+/// Delay before a scoring request is retried.
+const SCORE_RETRY_DELAY: Duration = Duration::from_millis(30);
+/// The same after no target accepted it; longer, because each failed request
+/// writes a log line.
+const SCORE_REFUSED_DELAY: Duration = Duration::from_millis(100);
 
-/// Most by which that pause is stretched after a send that broke off. What
-/// broke off together must not come back together: else the same requests are
-/// at one end of a target after the other, and none stands out.
-const SCORE_SPREAD: f64 = 5.0;
-/// The same for one that is held back.
-const SCORE_HELD_PAUSE: Duration = Duration::from_secs(5);
+/// Upper bound of the random factor applied to [`SCORE_REFUSED_DELAY`] after an
+/// exchange broke. Requests that failed together must not be retried together:
+/// otherwise the same set of requests is present at each crash of a target, and
+/// the poison request among them cannot be told apart.
+const SCORE_MAX_JITTER: f64 = 5.0;
+/// Upper bound of the delay while a scoring request is held back as poison.
+const SCORE_MAX_HELD_DELAY: Duration = Duration::from_secs(5);
 
-/// What became of a caller's wish about a job.
+/// The result of an operation on a job.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum JobReply {
-    /// It was done.
+    /// The operation succeeded.
     Done,
-    /// It was not done and never will be.
+    /// The operation failed without effect.
     Rejected,
-    /// It was not done, since the store has no room for it, and never will
-    /// be; when to come back, in milliseconds.
+    /// The operation failed without effect because the store is full; with the
+    /// retry delay in milliseconds.
     StoreFull(u64),
-    /// It may be done later.
+    /// The operation may have taken effect, or still may.
     OutcomeUnknown,
-    /// There is no such job or sample.
+    /// The job or sample does not exist, or the caller may not see it.
     NotFound,
-    /// This instance cannot be sure now.
+    /// This instance cannot read the job's current state.
     Unavailable,
-    /// The wish makes no sense.
+    /// The request is invalid; with the reason, for the log.
     Malformed(String),
-    /// Here it is.
+    /// The body of the response.
     Body(Bytes),
 }
 
-/// Takes a job in. [`JobReply::Done`] means that it is kept from now on.
+/// Submits a job. [`JobReply::Done`] means that the job is stored durably.
 pub async fn submit(
     shared: &Rc<Shared>,
     caller: &Caller,
@@ -92,35 +93,36 @@
     decoded: &Submission,
 ) -> JobReply {
     let part = shared.part_of(job);
-    if let Some(reply) = accepted(shared, caller, part, job) {
+    if let Some(reply) = reply_to_duplicate(shared, caller, part, job) {
         return reply;
     }
     if !batch::is_id(job) || decoded.samples.iter().any(|sample| !batch::is_id(&sample.id)) {
         return JobReply::Malformed(format!(
-            "ids have 1 to {} bytes, none of them '|'",
+            "ids must have 1 to {} bytes and contain no '|'",
             batch::MAX_ID
         ));
     }
-    // Another instance may just have accepted it. Where that cannot be read,
-    // the two heads that there may be name the same samples.
+    // Another instance may just have accepted the job. If the partition cannot
+    // be read, the job may get two metadata records, which name the same
+    // samples.
     let current = catch_up(shared, part).await;
-    if let Some(reply) = accepted(shared, caller, part, job) {
+    if let Some(reply) = reply_to_duplicate(shared, caller, part, job) {
         return reply;
     }
-    log::debug!("job {job} is new here, partition {part} read to its end: {current}");
-    if let Err(come_back_ms) = room::admit(shared, decoded) {
-        return no_room(shared, job, come_back_ms);
+    log::debug!("job {job} is not known here; read to the end of partition {part}: {current}");
+    if let Err(retry_after_ms) = room::admit(shared, decoded) {
+        return store_full(shared, job, retry_after_ms);
     }
-    // The samples first: until the head is there, nothing is kept and nothing
-    // runs, whatever became of this append.
+    // Samples are stored first. Whatever happens to this append, the job does
+    // not exist, and nothing runs, until its metadata is stored.
     let (samples, bundles) = match samples::put(shared, job, decoded).await {
-        Ok(put) => put,
-        Err(Fault::Full) => return no_room(shared, job, FULL_MS),
+        Ok(stored) => stored,
+        Err(Fault::Full) => return store_full(shared, job, STORE_FULL_RETRY_MS),
         Err(fault) => {
             if fault.is_not_done() {
                 shared.orphans.refused(shared.now(), job);
             }
-            log::info!("job {job} refused, its samples: {fault}");
+            log::info!("job {job} refused: its samples could not be stored: {fault}");
             return JobReply::Rejected;
         }
     };
@@ -137,39 +139,45 @@
         organisation: caller.organisation().to_owned(),
     };
     let (key, value) = batch::head_record(job, &head);
-    let most = shared.settings.store.record_bytes;
-    if key.len() + value.len() >= most {
-        return JobReply::Malformed(format!("{} bytes of a job's head exceed {most}", value.len()));
+    let max_bytes = shared.settings.store.record_bytes;
+    if key.len() + value.len() >= max_bytes {
+        return JobReply::Malformed(format!(
+            "the job's metadata has {} bytes, the limit is {max_bytes}",
+            value.len()
+        ));
     }
     let what = format!("job {job} of {} samples", decoded.samples.len());
-    let kept = keep(shared, part, (key, value), &what, |shared| known(shared, part, job)).await;
-    if matches!(kept, JobReply::Rejected | JobReply::StoreFull(_)) {
+    let reply =
+        append_metadata(shared, part, (key, value), &what, |shared| is_known(shared, part, job))
+            .await;
+    if matches!(reply, JobReply::Rejected | JobReply::StoreFull(_)) {
         shared.orphans.refused(shared.now(), job);
     }
-    if kept == JobReply::Done {
+    if reply == JobReply::Done {
         tokio::task::spawn_local(unstarted::watch(shared.clone(), part, job.to_owned()));
         let shared = shared.clone();
         tokio::task::spawn_local(async move {
             news::tell(&shared, &News::Accepted { part }).await;
         });
     }
-    kept
+    reply
 }
 
-fn no_room(shared: &Shared, job: &str, come_back_ms: u64) -> JobReply {
-    log::info!("job {job} refused: no room in the store, come back in {come_back_ms} ms");
+fn store_full(shared: &Shared, job: &str, retry_after_ms: u64) -> JobReply {
+    log::info!("job {job} refused: no room in the store, come back in {retry_after_ms} ms");
     shared.meters.jobs_without_space.inc();
     shared.orphans.refused(shared.now(), job);
-    JobReply::StoreFull(come_back_ms)
+    JobReply::StoreFull(retry_after_ms)
 }
 
-/// Appends a job's head; where no answer comes, looks whether it is there.
-async fn keep(
+/// Appends a job's metadata. If the outcome of the append is unknown, checks
+/// whether the record arrived.
+async fn append_metadata(
     shared: &Rc<Shared>,
     part: usize,
     (key, value): (String, Bytes),
     what: &str,
-    there: impl Fn(&Shared) -> bool,
+    is_stored: impl Fn(&Shared) -> bool,
 ) -> JobReply {
     let records = vec![(Some(key), value)];
     let (at, purpose) = (Part::at(JOBS, part), Use::Head);
@@ -179,53 +187,62 @@
             log::info!("{what} accepted");
             JobReply::Done
         }
-        Err(Fault::Full) => JobReply::StoreFull(FULL_MS),
+        Err(Fault::Full) => JobReply::StoreFull(STORE_FULL_RETRY_MS),
         Err(fault) if fault.is_not_done() => {
             log::info!("{what} refused: {fault}");
             JobReply::Rejected
         }
         Err(fault) => {
-            log::info!("{what}: {fault}; looking for it");
-            look_for(shared, part, there).await
+            log::info!("{what}: {fault}; checking whether it was stored");
+            confirm_append(shared, part, is_stored).await
         }
     }
 }
 
-fn known(shared: &Shared, part: usize, job: &str) -> bool {
+fn is_known(shared: &Shared, part: usize, job: &str) -> bool {
     shared.world.borrow().shelves[part].book.jobs.contains_key(job)
 }
 
-/// Whether a job is known that the caller may see.
-fn is_seen(shared: &Shared, caller: &Caller, part: usize, job: &str) -> bool {
+/// Whether the job exists and the caller may see it.
+fn is_visible(shared: &Shared, caller: &Caller, part: usize, job: &str) -> bool {
     let world = shared.world.borrow();
     let head = world.shelves[part].book.jobs.get(job).map(|job| &job.head);
     head.is_some_and(|head| caller.may_see(&head.organisation))
 }
 
-/// What a submission is answered whose job is there. Another organisation's
-/// job of that id is none that this caller is told of.
-fn accepted(shared: &Shared, caller: &Caller, part: usize, job: &str) -> Option<JobReply> {
-    if !known(shared, part, job) {
+/// The reply to a submission whose job id is already taken. The existence of
+/// another organisation's job is not revealed.
+fn reply_to_duplicate(
+    shared: &Shared,
+    caller: &Caller,
+    part: usize,
+    job: &str,
+) -> Option<JobReply> {
+    if !is_known(shared, part, job) {
         return None;
     }
-    Some(if is_seen(shared, caller, part, job) { JobReply::Done } else { JobReply::NotFound })
+    Some(if is_visible(shared, caller, part, job) { JobReply::Done } else { JobReply::NotFound })
 }
 
-/// Waits until something that may have been appended is read.
-async fn look_for(shared: &Rc<Shared>, part: usize, there: impl Fn(&Shared) -> bool) -> JobReply {
-    let until = Instant::now() + LOOK_FOR;
-    while Instant::now() < until {
-        let _unsure = catch_up(shared, part).await;
-        if there(shared) {
+/// Polls until a record that may have been appended is read.
+async fn confirm_append(
+    shared: &Rc<Shared>,
+    part: usize,
+    is_stored: impl Fn(&Shared) -> bool,
+) -> JobReply {
+    let deadline = Instant::now() + CONFIRM_TIMEOUT;
+    while Instant::now() < deadline {
+        let _is_current = catch_up(shared, part).await;
+        if is_stored(shared) {
             return JobReply::Done;
         }
-        sleep(LOOK_PAUSE).await;
+        sleep(CONFIRM_INTERVAL).await;
     }
     JobReply::OutcomeUnknown
 }
 
-/// Reads a partition to its end, whatever its follower is doing. Returns
-/// whether that went well.
+/// Reads a partition to its end, independently of the task that follows it.
+/// Returns whether that succeeded.
 pub async fn catch_up(shared: &Rc<Shared>, part: usize) -> bool {
     loop {
         let (from, loaded) = {
@@ -244,82 +261,83 @@
                     return true;
                 }
             }
-            // The follower starts over by itself.
+            // The follower reloads the partition.
             Err(Fault::Gone(_)) => return false,
             Err(fault) => {
                 shared.store_did(false);
-                log::info!("catching up with {JOBS}/{part}: {fault}");
+                log::info!("failed to catch up with {JOBS}/{part}: {fault}");
                 return false;
             }
         }
     }
 }
 
-/// Reads a job's results from a position on, waiting for `hold` at most for
-/// those that are worth an answer ([`batch::Job::is_worth_reading`]).
+/// Reads a job's results from a position, waiting up to `max_wait` until they
+/// are worth reading ([`batch::Job::is_worth_reading`]).
 ///
-/// Trainers wait for a number of whole groups, and come back half a second
-/// after each answer. With an answer at the first result, the last one that a
-/// step needed often came right after an answer that was of no use.
+/// Trainers need a number of complete groups and poll again half a second after
+/// each response. When the first result ended the wait, the last one that a
+/// step needed often arrived right after a response that did not help.
 pub async fn results(
     shared: &Rc<Shared>,
     caller: &Caller,
     job: &str,
     after: usize,
-    hold: Duration,
+    max_wait: Duration,
 ) -> JobReply {
     let part = shared.part_of(job);
-    let until = Instant::now() + hold;
+    let deadline = Instant::now() + max_wait;
     let listed = |shared: &Shared| {
         let world = shared.world.borrow();
         let job = world.shelves[part].book.jobs.get(job)?;
         let due = job.is_worth_reading(after) || after >= job.done.len();
         Some((job.listed.len(), due))
     };
-    // A position beyond the fold was read elsewhere, or never existed.
+    // A position beyond the folded results was read at another instance, or
+    // does not exist.
     if listed(shared).is_none_or(|(len, _)| len < after) && !catch_up(shared, part).await {
         return JobReply::Unavailable;
     }
-    if !is_seen(shared, caller, part, job) {
+    if !is_visible(shared, caller, part, job) {
         return JobReply::NotFound;
     }
-    let _waits = Waits::new(shared, part);
+    let _waiting = WaitingReader::new(shared, part);
     loop {
         let notified = shared.listed[part].notified();
         let Some((len, due)) = listed(shared) else {
             return JobReply::NotFound;
         };
-        let waited = Instant::now() >= until;
-        if due || waited && len > after {
+        let timed_out = Instant::now() >= deadline;
+        if due || timed_out && len > after {
             return page(shared, part, job, after).await;
         }
-        if waited {
-            // "Nothing yet" is a claim about the store, which may have gone
-            // silent since the follower last heard from it.
+        if timed_out {
+            // "No results yet" is a statement about the store, which may have
+            // become unresponsive since the follower last read from it.
             return match catch_up(shared, part).await {
                 true => page(shared, part, job, after).await,
                 false => JobReply::Unavailable,
             };
         }
-        let _no_news = timeout_at(until, notified).await;
+        let _timed_out = timeout_at(deadline, notified).await;
     }
 }
 
-/// Counts a caller who waits here for results of a partition.
-struct Waits {
+/// Counts a caller that waits for results of a partition, until dropped.
+struct WaitingReader {
     shared: Rc<Shared>,
     part: usize,
 }
 
-impl Waits {
-    fn new(shared: &Rc<Shared>, part: usize) -> Waits {
+impl WaitingReader {
+    fn new(shared: &Rc<Shared>, part: usize) -> WaitingReader {
         let readers = &shared.readers[part];
         readers.set(readers.get() + 1);
-        Waits { shared: shared.clone(), part }
+        WaitingReader { shared: shared.clone(), part }
     }
 }
 
-impl Drop for Waits {
+impl Drop for WaitingReader {
     fn drop(&mut self) {
         let readers = &self.shared.readers[self.part];
         readers.set(readers.get() - 1);
@@ -334,7 +352,7 @@
     let mut texts = match texts::fetch(shared, &wanted).await {
         Ok(texts) => texts.into_iter(),
         Err(fault) => {
-            log::info!("texts of job {job} from {after} on: {fault}");
+            log::info!("failed to read the texts of job {job} from position {after}: {fault}");
             return JobReply::Unavailable;
         }
     };
@@ -348,7 +366,8 @@
     JobReply::Body((shared.codec.results)(&Results { total, next, results }))
 }
 
-/// A job's number of samples and as many of its results as fit in an answer.
+/// The number of samples in a job, and as many of its results from a position
+/// as fit in a response.
 fn outcomes(
     shared: &Shared,
     part: usize,
@@ -363,12 +382,12 @@
         let outcome: Outcome = match Outcome::decode(listed.value.clone()) {
             Ok(outcome) => outcome,
             Err(error) => {
-                log::error!("result at offset {} cannot be read: {error}", listed.offset);
+                log::error!("failed to decode the result at offset {}: {error}", listed.offset);
                 break;
             }
         };
-        bytes += outcome.text.as_ref().map_or(0, TextRef::bytes) + OVERHEAD_BYTES;
-        if bytes > PAGE_BYTES && !outcomes.is_empty() {
+        bytes += outcome.text.as_ref().map_or(0, TextRef::bytes) + MAX_OVERHEAD_BYTES;
+        if bytes > MAX_PAGE_BYTES && !outcomes.is_empty() {
             break;
         }
         outcomes.push(outcome);
@@ -376,7 +395,7 @@
     Some((job.done.len(), outcomes))
 }
 
-/// The body of a sample that is not listed.
+/// Reads the body of a sample that has no result yet.
 pub async fn sample_body(
     shared: &Rc<Shared>,
     caller: &Caller,
@@ -384,10 +403,10 @@
     sample: &str,
 ) -> JobReply {
     let part = shared.part_of(job);
-    if !known(shared, part, job) && !catch_up(shared, part).await {
+    if !is_known(shared, part, job) && !catch_up(shared, part).await {
         return JobReply::Unavailable;
     }
-    if !is_seen(shared, caller, part, job) {
+    if !is_visible(shared, caller, part, job) {
         return JobReply::NotFound;
     }
     let at = {
@@ -405,15 +424,15 @@
     }
 }
 
-/// Ends a job. It stops at once and at all instances, whatever the store
-/// does ([`ends`]).
+/// Ends a job. It stops immediately at all instances, even if the store is
+/// unavailable ([`ends`]).
 pub async fn end(shared: &Rc<Shared>, caller: &Caller, job: &str) -> JobReply {
     if !batch::is_id(job) {
         return JobReply::NotFound;
     }
     let part = shared.part_of(job);
-    let current = known(shared, part, job) || catch_up(shared, part).await;
-    if known(shared, part, job) && !is_seen(shared, caller, part, job) {
+    let current = is_known(shared, part, job) || catch_up(shared, part).await;
+    if is_known(shared, part, job) && !is_visible(shared, caller, part, job) {
         return JobReply::NotFound;
     }
     let ended = {
@@ -426,22 +445,22 @@
             JobReply::NotFound
         }
         Some(true) => JobReply::Done,
-        known => ends::ask(shared, job, known.is_some()).await,
+        state => ends::ask(shared, job, state.is_some()).await,
     }
 }
 
-/// Sends a finished sample's scoring request until it is scored or has
-/// failed for good.
+/// Sends the scoring request of a sample whose text is complete, with retries,
+/// until it is scored or its attempts are used up.
 pub async fn score(shared: Rc<Shared>, slot: Slot) {
     let part = shared.part_of(&slot.job);
-    let (mut failures, mut tries) = (0, 0);
+    let (mut failures, mut attempts) = (0, 0);
     loop {
         let wanted = shared.world.borrow().wants(part, &slot);
         if !wanted {
             return;
         }
         let Some(Sample { scorer, .. }) = samples::get(&shared, &slot).await else {
-            sleep(SCORE_PAUSE).await;
+            sleep(SCORE_RETRY_DELAY).await;
             continue;
         };
         let Some(scorer) = scorer else {
@@ -451,12 +470,12 @@
         let plan = shared.world.borrow().plan.clone();
         let route = plan.as_ref().and_then(|plan| plan.route(&scorer.host, &scorer.path));
         let Some(mut route) = route.cloned() else {
-            sleep(SCORE_PAUSE).await;
+            sleep(SCORE_RETRY_DELAY).await;
             continue;
         };
-        // One target at a time: each failure counts.
-        let most = std::mem::replace(&mut route.attempts, 1).max(1);
-        let plain = PlainRequest {
+        // One attempt per call, so that each failure is counted here.
+        let max_failures = std::mem::replace(&mut route.attempts, 1).max(1);
+        let request = PlainRequest {
             method: http::Method::POST,
             target: scorer.path.clone(),
             host: scorer.host.clone(),
@@ -464,18 +483,18 @@
             organisation: String::new(),
             headers: http::HeaderMap::new(),
             body: scorer.body.clone(),
-            deadline: shared.now().after(SCORE_MS),
+            deadline: shared.now().after(SCORE_TIMEOUT_MS),
             usage_window: Cell::new(None),
             digest: OnceCell::new(),
         };
-        // Reading the request may have taken long.
+        // Reading the request may have taken a while.
         if !shared.may_send(&slot) {
-            sleep(SCORE_PAUSE).await;
+            sleep(SCORE_RETRY_DELAY).await;
             continue;
         }
-        tries += 1;
-        let mut pause = SCORE_PAUSE;
-        match forward::run(&shared, &route, &plain, tries).await {
+        attempts += 1;
+        let mut delay = SCORE_RETRY_DELAY;
+        match forward::run(&shared, &route, &request, attempts).await {
             ForwardResult::Answered(answer) if answer.status.is_success() => {
                 let signature = answer.signature(&shared.codec.headers.signature);
                 if let Some(text) = shared.world.borrow_mut().texts.get_mut(&slot) {
@@ -488,25 +507,26 @@
                 if answer.status == http::StatusCode::INTERNAL_SERVER_ERROR {
                     failures += 1;
                 }
-                log::debug!("scoring {}/{}: {}", slot.job, slot.at, answer.status);
+                log::debug!("scoring sample {}/{}: {}", slot.job, slot.at, answer.status);
             }
-            ForwardResult::Refused(kind, come_back_ms) => {
-                log::debug!("scoring {}/{}: {kind:?}", slot.job, slot.at);
-                let come_back = come_back_ms.map_or(SCORE_HELD_PAUSE, Duration::from_millis);
-                pause = match kind {
-                    Kind::EndsTargets => come_back.min(SCORE_HELD_PAUSE),
+            ForwardResult::Refused(kind, retry_after_ms) => {
+                log::debug!("scoring sample {}/{}: {kind:?}", slot.job, slot.at);
+                let retry_after =
+                    retry_after_ms.map_or(SCORE_MAX_HELD_DELAY, Duration::from_millis);
+                delay = match kind {
+                    Kind::EndsTargets => retry_after.min(SCORE_MAX_HELD_DELAY),
                     Kind::OutcomeUnknown => {
-                        SCORE_REFUSED_PAUSE.mul_f64(rand::random_range(1.0..=SCORE_SPREAD))
+                        SCORE_REFUSED_DELAY.mul_f64(rand::random_range(1.0..=SCORE_MAX_JITTER))
                     }
-                    _ => SCORE_REFUSED_PAUSE,
+                    _ => SCORE_REFUSED_DELAY,
                 };
             }
         }
-        if failures >= most {
-            log::info!("scoring {}/{} failed {failures} times", slot.job, slot.at);
+        if failures >= max_failures {
+            log::info!("scoring sample {}/{} failed {failures} times", slot.job, slot.at);
             shared.tell(&Event::Unscored(slot));
             return;
         }
-        sleep(pause).await;
+        sleep(delay).await;
     }
 }
--- a/crates/hollywell/src/entry/run.rs
+++ b/crates/hollywell/src/entry/run.rs
@@ -1,8 +1,9 @@
 //! One run of a sample at an engine: the request, its stream of events, and
-//! the text that has come so far.
+//! the text generated so far.
 //!
-//! The text outlives the run, so that another engine can go on after its
-//! last whole event. What it leaves out: when and where to run.
+//! The text outlives the run, so that another engine can resume after its last
+//! complete event. When and where samples run is decided in
+//! [`crate::core::dispatch`].
 
 use std::{collections::BTreeSet, rc::Rc, time::Duration};
 
@@ -28,48 +29,49 @@
     },
 };
 
-/// Longest time that a run may take. Silence ends it far sooner.
-const RUN_LIMIT: Duration = Duration::from_secs(60);
+/// Time-out of a run. A stream that stalls is cancelled long before that.
+const RUN_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// What has come of a sample's text.
+/// The text of a sample, as far as it was generated.
 #[derive(Clone, Debug, Default)]
 pub struct GeneratedText {
-    /// Number of the last whole event; 0 before the first.
+    /// Number of the last complete event; 0 before the first.
     pub last_event: u64,
     /// The data of all events, separated by line feeds.
     pub data: String,
-    /// All versions that generated an event.
+    /// All versions of the weights that generated an event.
     pub versions: BTreeSet<u64>,
-    /// The signature of its score, once there is one.
+    /// The signature of the sample's score, once it is scored.
     pub score: Option<String>,
-    /// Number of the last event that the store has.
+    /// Number of the last event that is in the store.
     pub saved_event: u64,
-    /// Where the store has the data up to it, and how many bytes that is.
+    /// Where the data up to that event is stored, in order.
     pub stored: Vec<TextRef>,
-    /// See `stored`.
+    /// The size of that data, in bytes.
     pub stored_bytes: usize,
-    /// Tells this text from another one of the same sample, begun anew.
+    /// Distinguishes this text from one of the same sample that was generated
+    /// from scratch.
     pub identity: Rc<()>,
 }
 
 impl GeneratedText {
-    fn take(&mut self, piece: &Chunk, version: u64) {
+    fn append(&mut self, chunk: &Chunk, version: u64) {
         if self.last_event > 0 {
             self.data.push('\n');
         }
-        self.data.push_str(&piece.data);
-        self.last_event = piece.id;
+        self.data.push_str(&chunk.data);
+        self.last_event = chunk.id;
         self.versions.insert(version);
     }
 }
 
-/// Starts a run as a task of its own.
+/// Starts a run in a task of its own.
 pub fn start(shared: &Rc<Shared>, run: Run, slot: Slot, target: &str, priority: u8) {
-    let said = {
+    let announcement = {
         let world = shared.world.borrow();
         world.fleet.targets.get(target).map(|target| target.said.clone())
     };
-    let Some(said) = said else {
+    let Some(announcement) = announcement else {
         let shared = shared.clone();
         tokio::task::spawn_local(async move {
             shared.tell(&Event::Ended { run, end: End::Misdirected });
@@ -79,10 +81,10 @@
     let task = tokio::task::spawn_local({
         let shared = shared.clone();
         async move {
-            let end = go(&shared, run, &slot, &said, priority).await;
+            let end = execute(&shared, run, &slot, &announcement, priority).await;
             let events =
                 || shared.world.borrow().texts.get(&slot).map_or(0, |text| text.last_event);
-            let (job, at, id) = (&slot.job, slot.at, &said.id);
+            let (job, at, id) = (&slot.job, slot.at, &announcement.id);
             log::debug!("sample {job}/{at} at {id}: {end:?}, {} events", events());
             shared.meters.runs.with_label_values(&[&format!("{end:?}")]).inc();
             shared.world.borrow_mut().runs.remove(&run);
@@ -92,38 +94,39 @@
     shared.world.borrow_mut().runs.insert(run, task.abort_handle());
 }
 
-/// Takes over the text that another instance, or an earlier run of this one,
-/// left in the store, where it goes further than what is known here.
-async fn recall(shared: &Rc<Shared>, slot: &Slot) {
+/// Loads the partial text that another instance, or an earlier run of this one,
+/// left in the store, if it is longer than the text in memory.
+async fn load_partial(shared: &Rc<Shared>, slot: &Slot) {
     let part = shared.part_of(&slot.job);
-    let Some(partial) = kept(shared, part, slot) else {
+    let Some(partial) = stored_partial(shared, part, slot) else {
         return;
     };
     let data = match texts::fetch(shared, &partial.texts).await {
         Ok(texts) => texts.concat(),
-        // A longer one has taken its place, or the store is away; then the
-        // sample begins anew, or where this instance knows.
+        // A longer text has replaced it, or the store is unavailable. The run
+        // then resumes from the text in memory, or starts from scratch.
         Err(fault) => {
-            log::info!("unfinished text of {}/{}: {fault}", slot.job, slot.at);
+            log::info!("failed to read the partial text of {}/{}: {fault}", slot.job, slot.at);
             return;
         }
     };
     let Ok(data) = String::from_utf8(data) else {
-        log::error!("unfinished text of {}/{} is not UTF-8", slot.job, slot.at);
+        log::error!("the partial text of {}/{} is not UTF-8", slot.job, slot.at);
         return;
     };
     let mut world = shared.world.borrow_mut();
-    let known = world.texts.get(slot).map_or(0, |text| text.last_event);
-    if partial.last > known {
-        // What an earlier job kept goes with that job, and is kept anew.
-        let own = partial.is_of(&slot.job);
+    let in_memory = world.texts.get(slot).map_or(0, |text| text.last_event);
+    if partial.last > in_memory {
+        // Records of an earlier job are deleted with that job, so the text has
+        // to be stored again under this one.
+        let is_own = partial.is_of(&slot.job);
         let text = GeneratedText {
             last_event: partial.last,
             versions: partial.versions.into_iter().collect(),
             score: None,
-            saved_event: if own { partial.last } else { 0 },
-            stored_bytes: if own { data.len() } else { 0 },
-            stored: if own { partial.texts } else { vec![] },
+            saved_event: if is_own { partial.last } else { 0 },
+            stored_bytes: if is_own { data.len() } else { 0 },
+            stored: if is_own { partial.texts } else { vec![] },
             data,
             identity: Rc::default(),
         };
@@ -131,17 +134,18 @@
     }
 }
 
-/// What the store keeps of a sample's text, if that is of use here.
-fn kept(shared: &Shared, part: usize, slot: &Slot) -> Option<Partial> {
+/// The partial text of a sample in the store, if it is longer than the text in
+/// memory and its versions are allowed.
+fn stored_partial(shared: &Shared, part: usize, slot: &Slot) -> Option<Partial> {
     let world = shared.world.borrow();
     let job = world.shelves[part].book.jobs.get(&slot.job)?;
     let partial = job.partials.get(&slot.at)?;
-    let known = world.texts.get(slot).map_or(0, |text| text.last_event);
+    let in_memory = world.texts.get(slot).map_or(0, |text| text.last_event);
     let allowed = partial.is_allowed(job.head.min_version);
-    (partial.last > known && allowed).then(|| partial.clone())
+    (partial.last > in_memory && allowed).then(|| partial.clone())
 }
 
-async fn go(
+async fn execute(
     shared: &Rc<Shared>,
     run: Run,
     slot: &Slot,
@@ -151,33 +155,34 @@
     let Some(sample) = samples::get(shared, slot).await else {
         return End::Unready;
     };
-    recall(shared, slot).await;
+    load_partial(shared, slot).await;
     let Some(request) = request(shared, slot, &sample, target, priority) else {
         return End::Impossible;
     };
     let digest = digest(shared, slot, &sample);
-    // Asked last: whoever ran it before may have told of it meanwhile.
-    let held = match suspects::verdict(shared, || digest) {
+    // Checked last: an instance that ran the sample before may just have
+    // reported a crash under it.
+    let is_held_back = match suspects::verdict(shared, || digest) {
         Verdict::Free => false,
         Verdict::Suspect => suspects::trial(shared, &target.pool, digest) == Trial::Nowhere,
         Verdict::Held(_) => true,
     };
-    if held {
+    if is_held_back {
         shared.meters.held_back.inc();
         return End::Held;
     }
     let last_event = || shared.world.borrow().texts.get(slot).map_or(0, |text| text.last_event);
-    let before = last_event();
+    let last_before = last_event();
     let end = exchange(shared, run, slot, target, digest, request).await;
-    // A sample that has got further is none that ends its targets.
-    let may_have_ended = matches!(end, End::Broken | End::Stale) && last_event() == before;
+    // A sample that made progress is not the one that crashed its target.
+    let may_have_ended = matches!(end, End::Broken | End::Stale) && last_event() == last_before;
     if may_have_ended && suspects::look(shared, target, digest, false).await {
         return End::Broken;
     }
     end
 }
 
-/// What a sample has in common with the same sample of another job.
+/// Identifies a sample's content across jobs, retries and instances.
 fn digest(shared: &Shared, slot: &Slot, sample: &Sample) -> Digest {
     let world = shared.world.borrow();
     let job = world.shelves[shared.part_of(&slot.job)].book.jobs.get(&slot.job);
@@ -193,8 +198,8 @@
     digest: Digest,
     request: Request<Full<Bytes>>,
 ) -> End {
-    let wanted = || shared.may_send(slot) && shared.may_reach(target);
-    let sent = shared.pool.send_if(target.address, request, RUN_LIMIT, wanted).await;
+    let still_allowed = || shared.may_send(slot) && shared.may_reach(target);
+    let sent = shared.pool.send_if(target.address, request, RUN_TIMEOUT, still_allowed).await;
     let answer = match sent {
         Ok(answer) => answer,
         Err(Error::Cancelled) => return End::Unready,
@@ -215,9 +220,9 @@
         StatusCode::UNPROCESSABLE_ENTITY => End::Impossible,
         StatusCode::INTERNAL_SERVER_ERROR => End::Failed,
         status => {
-            let refused = answer.head.headers.contains_key(&headers.not_run);
+            let was_not_run = answer.head.headers.contains_key(&headers.not_run);
             log::debug!("sample {}/{} at {}: {status}", slot.job, slot.at, target.id);
-            if refused { End::Full } else { End::Broken }
+            if was_not_run { End::Full } else { End::Broken }
         }
     }
 }
@@ -251,7 +256,7 @@
     request.body(Full::new(sample.body.clone())).ok()
 }
 
-/// What a run needs to know of its sample while events come.
+/// What a run needs while it reads its stream of events.
 struct Context<'a> {
     shared: &'a Rc<Shared>,
     run: Run,
@@ -265,29 +270,29 @@
 }
 
 impl Context<'_> {
-    /// Notes why a run ends early, for the log.
+    /// Logs why a run failed and returns its end.
     fn broken(&self, why: &dyn std::fmt::Display) -> End {
         log::info!("sample {}/{} at {}: {why}", self.slot.job, self.slot.at, self.target.id);
         End::Broken
     }
 
-    /// Notes that the target has a version of the model.
+    /// Records that the target serves a version of the model.
     fn saw(&self, version: u64) {
         let Announcement { id, born, .. } = self.target;
         self.shared.world.borrow_mut().fleet.answered(id, *born, &self.model, version);
     }
 
-    /// Takes one whole event into the sample's text. `version` is the one
-    /// that made the event before.
-    fn take(&self, event: &[u8], version: &mut Option<u64>) -> Result<(), End> {
+    /// Appends one complete event to the sample's text. `version` is the version
+    /// that generated the previous event, and is updated.
+    fn append(&self, event: &[u8], version: &mut Option<u64>) -> Result<(), End> {
         let text = std::str::from_utf8(event).map_err(|error| self.broken(&error))?;
-        let piece = (self.shared.codec.chunk)(text).map_err(|why| self.broken(&why))?;
-        if let Some(newer) = piece.version {
-            *version = Some(newer);
-            self.saw(newer);
+        let chunk = (self.shared.codec.chunk)(text).map_err(|why| self.broken(&why))?;
+        if let Some(new_version) = chunk.version {
+            *version = Some(new_version);
+            self.saw(new_version);
         }
         let Some(version) = *version else {
-            return Err(self.broken(&"an event without a version"));
+            return Err(self.broken(&"event without a weight version"));
         };
         if version < self.min_version {
             return Err(End::WrongVersion);
@@ -295,10 +300,12 @@
         {
             let mut world = self.shared.world.borrow_mut();
             let text = world.texts.entry(self.slot.clone()).or_default();
-            if piece.id != text.last_event + 1 {
-                return Err(self.broken(&format!("event {} after {}", piece.id, text.last_event)));
+            if chunk.id != text.last_event + 1 {
+                return Err(
+                    self.broken(&format!("event {} follows event {}", chunk.id, text.last_event))
+                );
             }
-            text.take(&piece, version);
+            text.append(&chunk, version);
         }
         suspects::served(self.shared, || self.digest);
         self.shared.tell(&Event::Piece { run: self.run });
@@ -329,14 +336,14 @@
     }
 }
 
-/// Takes events in until the answer ends.
+/// Reads events until the response ends.
 async fn events(context: &Context<'_>, mut answer: IncomingResponse) -> Result<(), End> {
     let headers = &context.shared.codec.headers;
     if answer.header(&headers.request_id) != Some(context.id.as_str()) {
-        return Err(context.broken(&"another request's answer"));
+        return Err(context.broken(&"the response has another request's id"));
     }
-    // Whoever asks for what follows the last event gets an answer that no
-    // version made, without events: the text lacked only its end.
+    // A resumed stream whose text was already complete ends without an event
+    // and states no version.
     let mut version = answer.header(&headers.version).and_then(|v| v.parse::<u64>().ok());
     if let Some(version) = version {
         context.saw(version);
@@ -349,15 +356,15 @@
     while let Some(data) = answer.chunk().await.map_err(|error| context.broken(&error))? {
         splitter.push(&data);
         while let Some(event) = splitter.next_event() {
-            context.take(&event, &mut version)?;
+            context.append(&event, &mut version)?;
         }
     }
     if !splitter.is_empty() {
-        return Err(context.broken(&"ends within an event"));
+        return Err(context.broken(&"the stream ends within an event"));
     }
     let world = context.shared.world.borrow();
     match world.texts.contains_key(context.slot) {
         true => Ok(()),
-        false => Err(context.broken(&"ends without any event")),
+        false => Err(context.broken(&"the stream ends without any event")),
     }
 }
