--- a/crates/hollywell/src/entry/exchange.rs
+++ b/crates/hollywell/src/entry/exchange.rs
@@ -1,11 +1,12 @@
-//! Exchanges over HTTP/1.1 with kept connections.
+//! An HTTP/1.1 client with a connection pool.
 //!
-//! Connections cost: a handshake at the target, a price, a round trip. So
-//! they are kept for the next request to the same address. A kept connection
-//! that the other side closes while a request is on its way is told apart
-//! from a target's fault ([`Error::StaleConnection`]).
+//! A new connection costs a round trip and a handshake at the target, and has
+//! a price. Connections are therefore kept open for the next request to the
+//! same address. If the peer closes a pooled connection while a request is in
+//! flight, that is distinguished from a fault of the target
+//! ([`Error::StaleConnection`]).
 //!
-//! What it leaves out: retries, which depend on what may be repeated.
+//! Retries are left to the callers, which know what is safe to repeat.
 
 use std::{
     cell::{Cell, RefCell},
@@ -28,36 +29,37 @@
 
 use crate::clock::since_boot;
 
-/// Longest time to wait for a connection. Round trips take milliseconds; a
-/// lost packet is sent again after one second.
+/// Time-out for opening a connection. Round trips take milliseconds, but a lost
+/// packet is retransmitted only after one second.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
-/// Longest time to find out whether a target has ended: an address without a
-/// listener says so within a round trip, and a caller waits meanwhile.
-const LOOK_TIMEOUT: Duration = Duration::from_millis(150);
-/// A kept connection is not used after this share of the idle time that the
-/// other side granted, so that its closing does not cross a request.
-const IDLE_SHARE: f64 = 0.7;
-/// How long a connection is kept that was made and not used.
-const UNUSED: Duration = Duration::from_secs(1);
-/// Idle time where the other side states none.
-const IDLE: Duration = Duration::from_secs(4);
+/// Time-out for checking whether a target has exited. An address without a
+/// listener refuses a connection within a round trip, and a caller is waiting.
+const EXIT_CHECK_TIMEOUT: Duration = Duration::from_millis(150);
+/// Fraction of the peer's idle time-out after which a pooled connection is no
+/// longer used, so that a request does not race with the peer's close.
+const IDLE_FRACTION: f64 = 0.7;
+/// How long a connection is pooled that was opened but not used.
+const UNUSED_TIMEOUT: Duration = Duration::from_secs(1);
+/// Idle time-out if the peer states none.
+const DEFAULT_IDLE: Duration = Duration::from_secs(4);
 
 /// Why an exchange failed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Error {
-    /// No connection was made, so nothing was sent.
+    /// The connection could not be opened, so nothing was sent.
     NotSent(String),
-    /// The same, because nobody listens at the address: the process that did
-    /// has ended.
+    /// The connection was refused: nothing listens at the address, so the
+    /// process that did has exited.
     ConnectionRefused,
-    /// A kept connection ended before any answer. It says nothing about the
-    /// target; whether the request ran is not known.
+    /// A pooled connection was closed before any response. That is no fault of
+    /// the target; whether the request ran is unknown.
     StaleConnection,
-    /// Something was sent, and no whole answer came.
+    /// Something was sent, but no complete response arrived.
     Broken(String),
-    /// The time was up before a whole answer came.
+    /// The time-out elapsed before the complete response arrived.
     TimedOut,
-    /// It was no longer wanted once it could have been sent, and was not.
+    /// The request was not sent, because it was no longer allowed or needed when
+    /// a connection was available.
     Cancelled,
 }
 
@@ -66,10 +68,10 @@
         match self {
             Error::NotSent(cause) => write!(f, "no connection: {cause}"),
             Error::ConnectionRefused => f.write_str("no connection: nobody listens"),
-            Error::StaleConnection => f.write_str("a kept connection had ended"),
+            Error::StaleConnection => f.write_str("a pooled connection was closed by the peer"),
             Error::Broken(cause) => write!(f, "exchange broke: {cause}"),
-            Error::TimedOut => f.write_str("no whole answer in time"),
-            Error::Cancelled => f.write_str("no longer wanted"),
+            Error::TimedOut => f.write_str("no complete response in time"),
+            Error::Cancelled => f.write_str("cancelled before it was sent"),
         }
     }
 }
@@ -77,13 +79,13 @@
 impl std::error::Error for Error {}
 
 impl Error {
-    /// Whether nothing was sent, for certain.
+    /// Whether it is certain that nothing was sent.
     #[must_use]
     pub const fn is_not_sent(&self) -> bool {
         matches!(self, Error::NotSent(_) | Error::ConnectionRefused | Error::Cancelled)
     }
 
-    /// Its kind's name in metrics.
+    /// The label value in metrics.
     #[must_use]
     pub const fn as_str(&self) -> &'static str {
         match self {
@@ -99,18 +101,18 @@
 
 type Sender = SendRequest<Full<Bytes>>;
 
-struct Kept {
+struct PooledConnection {
     sender: Sender,
-    /// Time since the machine's start up to which it may be used: while this
-    /// one is suspended, the other side closes it.
+    /// When it expires, as time since boot. That clock also runs while this
+    /// machine is suspended, during which the peer may close the connection.
     until: Duration,
 }
 
-/// Kept connections, by address.
+/// A pool of idle connections, by address.
 #[derive(Default)]
 pub struct Pool {
-    kept: RefCell<HashMap<SocketAddr, Vec<Kept>>>,
-    /// Connections opened so far.
+    idle: RefCell<HashMap<SocketAddr, Vec<PooledConnection>>>,
+    /// The number of connections opened so far.
     pub opened: Cell<u64>,
 }
 
@@ -120,7 +122,7 @@
     }
 }
 
-/// An answer whose body is still to come. Dropping it closes the connection.
+/// A response whose body is not read yet. Dropping it closes the connection.
 pub struct IncomingResponse {
     /// Status and headers.
     pub head: http::response::Parts,
@@ -137,15 +139,15 @@
 }
 
 impl Pool {
-    /// A pool without connections.
+    /// Creates an empty pool.
     #[must_use]
     pub fn new() -> Rc<Pool> {
         Rc::new(Pool::default())
     }
 
     fn take(&self, address: SocketAddr) -> Option<Sender> {
-        let mut kept = self.kept.borrow_mut();
-        let list = kept.get_mut(&address)?;
+        let mut idle = self.idle.borrow_mut();
+        let list = idle.get_mut(&address)?;
         let now = since_boot();
         while let Some(entry) = list.pop() {
             if entry.until > now && entry.sender.is_ready() {
@@ -157,29 +159,30 @@
 
     fn keep(&self, address: SocketAddr, sender: Sender, idle: Duration) {
         let until = since_boot() + idle;
-        self.kept.borrow_mut().entry(address).or_default().push(Kept { sender, until });
+        self.idle.borrow_mut().entry(address).or_default().push(PooledConnection { sender, until });
     }
 
-    /// Closes connections that have been idle for too long.
+    /// Closes connections that have been idle for too long or that the peer has
+    /// closed.
     pub fn sweep(&self) {
         let now = since_boot();
-        let mut kept = self.kept.borrow_mut();
-        for list in kept.values_mut() {
+        let mut idle = self.idle.borrow_mut();
+        for list in idle.values_mut() {
             list.retain(|entry| entry.until > now && !entry.sender.is_closed());
         }
-        kept.retain(|_, list| !list.is_empty());
+        idle.retain(|_, list| !list.is_empty());
     }
 
-    /// Closes all kept connections to an address.
+    /// Closes all idle connections to an address.
     pub fn forget(&self, address: SocketAddr) {
-        self.kept.borrow_mut().remove(&address);
+        self.idle.borrow_mut().remove(&address);
     }
 
     async fn connect(&self, address: SocketAddr) -> Result<Sender, Error> {
         let not_sent = |cause: &dyn fmt::Display| Error::NotSent(cause.to_string());
         let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(address))
             .await
-            .map_err(|_| Error::NotSent(String::from("connecting took too long")))?
+            .map_err(|_| Error::NotSent(String::from("connecting timed out")))?
             .map_err(|error| match error.kind() {
                 std::io::ErrorKind::ConnectionRefused => Error::ConnectionRefused,
                 _ => not_sent(&error),
@@ -189,32 +192,31 @@
             http1::handshake(TokioIo::new(stream)).await.map_err(|error| not_sent(&error))?;
         self.opened.set(self.opened.get() + 1);
         log::debug!("connection to {address} opened");
-        // A connection that breaks shows at the request that is on it.
+        // A failure of the connection is reported by the request that uses it.
         tokio::task::spawn_local(async move {
-            let _shown_elsewhere = connection.await;
+            let _reported_by_request = connection.await;
         });
         Ok(sender)
     }
 
-    /// Whether the process at an address, with which an exchange has just
-    /// broken, has ended. If it has not, the connection that this takes is kept
-    /// for the next request.
+    /// Checks, after an exchange failed, whether the process at an address has
+    /// exited. If it has not, the connection opened for the check is pooled.
     pub async fn has_exited(&self, address: SocketAddr) -> bool {
-        match timeout(LOOK_TIMEOUT, self.connect(address)).await {
+        match timeout(EXIT_CHECK_TIMEOUT, self.connect(address)).await {
             Ok(Err(Error::ConnectionRefused)) => {
                 self.forget(address);
                 true
             }
             Ok(Ok(sender)) => {
-                self.keep(address, sender, UNUSED);
+                self.keep(address, sender, UNUSED_TIMEOUT);
                 false
             }
-            // Whoever is cut off may live.
+            // A process that cannot be reached may still be alive.
             Ok(Err(_)) | Err(_) => false,
         }
     }
 
-    /// Sends a request and waits for the head of its answer.
+    /// Sends a request and waits for the head of the response.
     ///
     /// # Errors
     ///
@@ -228,20 +230,21 @@
         self.send_if(address, request, limit, || true).await
     }
 
-    /// The same if, once there is a connection, the request is still
-    /// `wanted`: making one takes a while, and a process may be paused in it.
+    /// As [`Pool::send`], but sends the request only if `still_allowed` returns
+    /// true once a connection is available: opening one takes a while, and the
+    /// process may be paused meanwhile.
     ///
     /// # Errors
     ///
-    /// See [`Error`]; [`Error::Cancelled`] if it was not.
+    /// See [`Error`]; [`Error::Cancelled`] if it returned false.
     pub async fn send_if(
         self: &Rc<Pool>,
         address: SocketAddr,
         request: Request<Full<Bytes>>,
         limit: Duration,
-        wanted: impl Fn() -> bool,
+        still_allowed: impl Fn() -> bool,
     ) -> Result<IncomingResponse, Error> {
-        let exchange = self.exchange(address, request, wanted);
+        let exchange = self.exchange(address, request, still_allowed);
         timeout(limit, exchange).await.map_err(|_| Error::TimedOut)?
     }
 
@@ -249,20 +252,20 @@
         self: &Rc<Pool>,
         address: SocketAddr,
         request: Request<Full<Bytes>>,
-        wanted: impl Fn() -> bool,
+        still_allowed: impl Fn() -> bool,
     ) -> Result<IncomingResponse, Error> {
-        let (mut sender, kept) = match self.take(address) {
+        let (mut sender, is_reused) = match self.take(address) {
             Some(sender) => (sender, true),
             None => (self.connect(address).await?, false),
         };
-        if !wanted() {
-            self.keep(address, sender, UNUSED);
+        if !still_allowed() {
+            self.keep(address, sender, UNUSED_TIMEOUT);
             return Err(Error::Cancelled);
         }
         let response = sender.send_request(request).await.map_err(|error| {
             if error.is_canceled() {
                 Error::NotSent(error.to_string())
-            } else if kept && (error.is_incomplete_message() || error.is_closed()) {
+            } else if is_reused && (error.is_incomplete_message() || error.is_closed()) {
                 Error::StaleConnection
             } else {
                 Error::Broken(error.to_string())
@@ -274,17 +277,17 @@
 }
 
 impl IncomingResponse {
-    /// The value of a header, if it is there once and is text.
+    /// The value of a header, if it is present and text.
     #[must_use]
     pub fn header(&self, name: &http::HeaderName) -> Option<&str> {
         self.head.headers.get(name)?.to_str().ok()
     }
 
-    /// The next piece of the body; `None` at its end.
+    /// Reads the next chunk of the body; `None` at its end.
     ///
     /// # Errors
     ///
-    /// [`Error::Broken`] if the connection ends before the body does.
+    /// [`Error::Broken`] if the connection is closed before the end of the body.
     pub async fn chunk(&mut self) -> Result<Option<Bytes>, Error> {
         loop {
             match self.body.frame().await {
@@ -302,19 +305,19 @@
         }
     }
 
-    /// The whole body.
+    /// Reads the complete body.
     ///
     /// # Errors
     ///
-    /// [`Error::Broken`] if the connection ends before the body does or the
-    /// body is longer than `limit` bytes; [`Error::TimedOut`].
-    pub async fn read_body(self, limit: usize, within: Duration) -> Result<Bytes, Error> {
-        let all = self.read_body_with_idle_timeout(limit, within);
-        timeout(within, all).await.map_err(|_| Error::TimedOut)?
+    /// [`Error::Broken`] if the connection is closed before the end of the body
+    /// or the body is longer than `limit` bytes; [`Error::TimedOut`].
+    pub async fn read_body(self, limit: usize, time_limit: Duration) -> Result<Bytes, Error> {
+        let all = self.read_body_with_idle_timeout(limit, time_limit);
+        timeout(time_limit, all).await.map_err(|_| Error::TimedOut)?
     }
 
-    /// The whole body, however long it takes, as long as none of its pieces
-    /// is late by more than `silence`.
+    /// Reads the complete body. There is no limit on the total time, but each
+    /// chunk has to arrive within `idle_timeout`.
     ///
     /// # Errors
     ///
@@ -322,14 +325,14 @@
     pub async fn read_body_with_idle_timeout(
         mut self,
         limit: usize,
-        silence: Duration,
+        idle_timeout: Duration,
     ) -> Result<Bytes, Error> {
         let mut first: Option<Bytes> = None;
         let mut rest = Vec::new();
         loop {
-            let next = timeout(silence, self.chunk()).await.map_err(|_| Error::TimedOut)??;
+            let next = timeout(idle_timeout, self.chunk()).await.map_err(|_| Error::TimedOut)??;
             let Some(data) = next else {
-                // One piece is mostly all there is, and is not copied.
+                // Most bodies have a single chunk, which is not copied.
                 return Ok(if rest.is_empty() { first.unwrap_or_default() } else { rest.into() });
             };
             match &first {
@@ -342,7 +345,7 @@
                 }
             }
             if rest.len() > limit {
-                return Err(Error::Broken(format!("the body exceeds {limit} bytes")));
+                return Err(Error::Broken(format!("the body is longer than {limit} bytes")));
             }
         }
     }
@@ -360,8 +363,8 @@
         let stated = header(http::HeaderName::from_static("keep-alive"))
             .and_then(|value| value.split("timeout=").nth(1))
             .and_then(|value| value.split([',', ' ']).next()?.parse::<u64>().ok());
-        let idle = stated.map_or(IDLE, Duration::from_secs);
-        log::debug!("connection to {} kept, idle {stated:?}", self.address);
-        self.pool.keep(self.address, sender, idle.mul_f64(IDLE_SHARE));
+        let idle = stated.map_or(DEFAULT_IDLE, Duration::from_secs);
+        log::debug!("connection to {} pooled, idle time-out {stated:?}", self.address);
+        self.pool.keep(self.address, sender, idle.mul_f64(IDLE_FRACTION));
     }
 }
--- a/crates/hollywell/src/entry/outbox.rs
+++ b/crates/hollywell/src/entry/outbox.rs
@@ -1,9 +1,9 @@
-//! Results and unfinished texts on their way to the store.
+//! Writes results and partial texts to the store.
 //!
-//! A result goes in two appends, its text first: whoever reads the result
-//! finds the text. An append whose outcome is unknown is made again under
-//! another key; readers take the first result of a sample and never look at
-//! a text that no result names.
+//! A result takes two appends, its text first, so that a reader of the result
+//! always finds the text. An append whose outcome is unknown is repeated under
+//! another key: readers use the first result of a sample and never read a text
+//! that no result references.
 
 use std::{
     cell::{Cell, RefCell},
@@ -28,22 +28,22 @@
     },
 };
 
-/// Pause after a failed append.
-const APPEND_PAUSE: Duration = Duration::from_millis(150);
-/// Pause after an append that a full store refused: logs are trimmed and
-/// records dropped each second.
-const FULL_PAUSE: Duration = Duration::from_secs(1);
-/// What a record takes besides its value, at most.
-const OVERHEAD_BYTES: usize = 500;
+/// Delay before a failed append is retried.
+const RETRY_DELAY: Duration = Duration::from_millis(150);
+/// Delay before an append that a full store rejected is retried: logs are
+/// trimmed and records deleted each second.
+const STORE_FULL_DELAY: Duration = Duration::from_secs(1);
+/// Upper bound of a record's size apart from its value, in bytes.
+const MAX_OVERHEAD_BYTES: usize = 500;
 
 struct Entry {
     slot: Slot,
     outcome: Outcome,
-    /// The text, until the store has it.
+    /// The text, until it is stored.
     text: Option<Bytes>,
 }
 
-/// Results of one partition on their way to the store.
+/// Queue of the results of one partition that are not stored yet.
 #[derive(Default)]
 pub struct Outbox {
     queue: RefCell<VecDeque<Entry>>,
@@ -60,7 +60,8 @@
     u32::try_from(part).unwrap_or_default()
 }
 
-/// Queues a sample's result for the store.
+/// Queues a sample's result to be stored. `dead` marks a sample that was given
+/// up.
 pub fn deliver(shared: &Rc<Shared>, slot: &Slot, dead: bool) {
     let part = shared.part_of(&slot.job);
     {
@@ -84,26 +85,30 @@
 
 async fn flush(shared: Rc<Shared>, part: usize) {
     loop {
-        let mut taken = take(&shared, part);
-        if taken.is_empty() {
+        let mut entries = take(&shared, part);
+        if entries.is_empty() {
             shared.outbox[part].busy.set(false);
             return;
         }
-        let mut appended = append_texts(&shared, part, &mut taken).await;
+        let mut appended = append_texts(&shared, part, &mut entries).await;
         if appended.is_ok() {
-            appended = append_results(&shared, part, &taken).await;
+            appended = append_results(&shared, part, &entries).await;
         }
         if let Err(fault) = appended {
-            log::info!("{} results kept for another append: {fault}", taken.len());
-            put_back(&shared.outbox[part], taken);
-            sleep(if fault == Fault::Full { FULL_PAUSE } else { APPEND_PAUSE }).await;
+            log::info!("failed to append {} results, retrying: {fault}", entries.len());
+            put_back(&shared.outbox[part], entries);
+            sleep(if fault == Fault::Full { STORE_FULL_DELAY } else { RETRY_DELAY }).await;
         }
     }
 }
 
-async fn append_texts(shared: &Rc<Shared>, part: usize, taken: &mut [Entry]) -> Result<(), Fault> {
+async fn append_texts(
+    shared: &Rc<Shared>,
+    part: usize,
+    entries: &mut [Entry],
+) -> Result<(), Fault> {
     let mut waiting: Vec<&mut Entry> =
-        taken.iter_mut().filter(|entry| entry.text.is_some()).collect();
+        entries.iter_mut().filter(|entry| entry.text.is_some()).collect();
     if waiting.is_empty() {
         return Ok(());
     }
@@ -130,37 +135,38 @@
     Ok(())
 }
 
-async fn append_results(shared: &Rc<Shared>, part: usize, taken: &[Entry]) -> Result<(), Fault> {
+async fn append_results(shared: &Rc<Shared>, part: usize, entries: &[Entry]) -> Result<(), Fault> {
     let mut records = Vec::new();
-    for Entry { slot, outcome, .. } in taken {
-        // A key of its own for each append: if one key were appended twice,
-        // the store would keep only the later offset, and with it another
-        // position.
+    for Entry { slot, outcome, .. } in entries {
+        // Each append uses a new key: if the same key were appended twice, the
+        // store would keep only the later record, and the result would change
+        // its position.
         let (key, value) = batch::outcome_record(&slot.job, &shared.unique(), outcome);
         records.push((Some(key), value));
     }
     let (at, purpose) = (Part::at(JOBS, part), Use::Outcome);
     let append = Append { part: at, records, expected_end: None, purpose };
     let appended = shared.append(append).await?;
-    for (Entry { slot, outcome, .. }, offset) in taken.iter().zip(appended.offset..) {
+    for (Entry { slot, outcome, .. }, offset) in entries.iter().zip(appended.offset..) {
         let ending = if outcome.dead { "given up" } else { "whole" };
         log::debug!("sample {}/{} is {ending}: record {offset} or after", slot.job, slot.at);
     }
     Ok(())
 }
 
-fn put_back(outbox: &Outbox, taken: Vec<Entry>) {
+fn put_back(outbox: &Outbox, entries: Vec<Entry>) {
     let mut queue = outbox.queue.borrow_mut();
-    for entry in taken.into_iter().rev() {
+    for entry in entries.into_iter().rev() {
         queue.push_front(entry);
     }
 }
 
-/// The next results to append, without those that are listed meanwhile.
+/// Takes the next results to append, and drops those of samples that have a
+/// result in the meantime.
 fn take(shared: &Shared, part: usize) -> Vec<Entry> {
     let world = shared.world.borrow();
     let mut queue = shared.outbox[part].queue.borrow_mut();
-    let mut taken = Vec::new();
+    let mut entries = Vec::new();
     let mut bytes = 0;
     while let Some(entry) = queue.front() {
         let job = world.shelves[part].book.jobs.get(&entry.slot.job);
@@ -168,73 +174,75 @@
             queue.pop_front();
             continue;
         }
-        bytes += entry.text.as_ref().map_or(0, Bytes::len) + OVERHEAD_BYTES;
-        if bytes > shared.settings.store.call_bytes && !taken.is_empty() {
+        bytes += entry.text.as_ref().map_or(0, Bytes::len) + MAX_OVERHEAD_BYTES;
+        if bytes > shared.settings.store.call_bytes && !entries.is_empty() {
             break;
         }
-        taken.extend(queue.pop_front());
+        entries.extend(queue.pop_front());
     }
-    taken
+    entries
 }
 
-/// A text that has grown since it was last kept.
-struct Grown {
+/// A text that has grown since it was last stored.
+struct GrownText {
     slot: Slot,
     sample: String,
     last: u64,
     versions: Vec<u64>,
-    /// Where the store has what was kept before.
-    kept: Vec<TextRef>,
-    /// What came since.
-    piece: Bytes,
+    /// References to the parts stored before.
+    stored: Vec<TextRef>,
+    /// The text generated since.
+    new_text: Bytes,
     identity: Rc<()>,
 }
 
-/// Brings texts that have grown by `least` events or more since they were
-/// last kept to the store.
-pub async fn save_partials(shared: &Rc<Shared>, least: u64) {
+/// Stores the new part of each text that has grown by at least `min_events`
+/// since it was last stored.
+pub async fn save_partials(shared: &Rc<Shared>, min_events: u64) {
     for part in 0..shared.outbox.len() {
-        let grown = grown(shared, part, least);
-        if grown.is_empty() {
+        let grown_texts = grown_texts(shared, part, min_events);
+        if grown_texts.is_empty() {
             continue;
         }
-        let saved = match append_partials(shared, part, &grown).await {
+        let saved = match append_partials(shared, part, &grown_texts).await {
             Ok(saved) => saved,
             Err(fault) => {
-                log::info!("{} unfinished texts not kept: {fault}", grown.len());
+                log::info!("failed to store {} partial texts: {fault}", grown_texts.len());
                 continue;
             }
         };
         let mut world = shared.world.borrow_mut();
-        for (grown, kept) in grown.into_iter().zip(saved) {
+        for (grown, stored) in grown_texts.into_iter().zip(saved) {
             let text = world.texts.get_mut(&grown.slot);
-            // A text that was begun anew meanwhile has other data, and one
-            // that was kept meanwhile, as a stopping instance does beside the
-            // regular saves, goes on from there.
+            // Skip a text that was restarted from scratch in the meantime,
+            // whose data differs, and one that was stored in the meantime:
+            // a stopping instance saves texts concurrently with the regular
+            // saves.
             let same = |text: &&mut GeneratedText| {
-                Rc::ptr_eq(&text.identity, &grown.identity) && text.stored == grown.kept
+                Rc::ptr_eq(&text.identity, &grown.identity) && text.stored == grown.stored
             };
             if let Some(text) = text.filter(same) {
                 text.saved_event = grown.last;
-                text.stored_bytes += grown.piece.len();
-                text.stored = kept;
+                text.stored_bytes += grown.new_text.len();
+                text.stored = stored;
             }
         }
     }
 }
 
-/// Appends what came since texts were last kept, then where all of each
-/// lies; returns that.
+/// Appends the new parts of texts, then for each text a record that references
+/// all of its parts. Returns these references.
 async fn append_partials(
     shared: &Rc<Shared>,
     part: usize,
-    grown: &[Grown],
+    grown_texts: &[GrownText],
 ) -> Result<Vec<Vec<TextRef>>, Fault> {
-    let key =
-        |grown: &Grown| batch::partial_text_key(&grown.slot.job, &shared.unique(), &grown.sample);
-    let keys: Vec<String> = grown.iter().map(key).collect();
-    let records = keys.iter().zip(grown);
-    let records = records.map(|(key, grown)| (Some(key.clone()), grown.piece.clone())).collect();
+    let key = |grown: &GrownText| {
+        batch::partial_text_key(&grown.slot.job, &shared.unique(), &grown.sample)
+    };
+    let keys: Vec<String> = grown_texts.iter().map(key).collect();
+    let records = keys.iter().zip(grown_texts);
+    let records = records.map(|(key, grown)| (Some(key.clone()), grown.new_text.clone())).collect();
     let (at, purpose) = (Part::at(TEXTS, part), Use::Unfinished);
     let append = Append { part: at, records, expected_end: None, purpose };
     let appended = shared.append(append).await;
@@ -242,41 +250,41 @@
         shared.orphans.texts(shared.now(), part, keys.clone());
     }
     let first = appended?.offset;
-    let mut kept = Vec::new();
+    let mut stored = Vec::new();
     let mut records = Vec::new();
-    for ((grown, key), offset) in grown.iter().zip(&keys).zip(first..) {
-        let mut texts = grown.kept.clone();
-        texts.push(TextRef::new(number(part), offset, key.clone(), &grown.piece));
+    for ((grown, key), offset) in grown_texts.iter().zip(&keys).zip(first..) {
+        let mut texts = grown.stored.clone();
+        texts.push(TextRef::new(number(part), offset, key.clone(), &grown.new_text));
         let (last, versions) = (grown.last, grown.versions.clone());
         let partial = Partial { last, texts, versions };
         let (key, value) = batch::partial_record(&grown.slot.job, &grown.sample, &partial);
         records.push((Some(key), value));
-        kept.push(partial.texts);
+        stored.push(partial.texts);
     }
     let at = Part::at(JOBS, part);
     let append = Append { part: at, records, expected_end: None, purpose };
-    let noted = shared.append(append).await;
-    if noted.as_ref().is_err_and(Fault::is_not_done) {
+    let referenced = shared.append(append).await;
+    if referenced.as_ref().is_err_and(Fault::is_not_done) {
         shared.orphans.texts(shared.now(), part, keys);
     }
-    noted.map(|_| kept)
+    referenced.map(|_| stored)
 }
 
-fn grown(shared: &Shared, part: usize, least: u64) -> Vec<Grown> {
+fn grown_texts(shared: &Shared, part: usize, min_events: u64) -> Vec<GrownText> {
     let world = shared.world.borrow();
     let store = &shared.settings.store;
-    let mut grown = Vec::new();
+    let mut grown_texts = Vec::new();
     let mut bytes = 0;
     for (slot, text) in &world.texts {
-        if shared.part_of(&slot.job) != part || text.last_event < text.saved_event + least {
+        if shared.part_of(&slot.job) != part || text.last_event < text.saved_event + min_events {
             continue;
         }
         let job = world.shelves[part].book.jobs.get(&slot.job);
         let Some(job) = job.filter(|_| world.wants(part, slot)) else {
             continue;
         };
-        let piece = &text.data.as_bytes()[text.stored_bytes..];
-        let size = piece.len() + OVERHEAD_BYTES;
+        let new_text = &text.data.as_bytes()[text.stored_bytes..];
+        let size = new_text.len() + MAX_OVERHEAD_BYTES;
         if size > store.record_bytes {
             continue;
         }
@@ -284,15 +292,15 @@
         if bytes > store.call_bytes / 2 {
             break;
         }
-        grown.push(Grown {
+        grown_texts.push(GrownText {
             slot: slot.clone(),
             sample: job.head.samples[slot.at].id.clone(),
             last: text.last_event,
             versions: text.versions.iter().copied().collect(),
-            kept: text.stored.clone(),
-            piece: Bytes::copy_from_slice(piece),
+            stored: text.stored.clone(),
+            new_text: Bytes::copy_from_slice(new_text),
             identity: text.identity.clone(),
         });
     }
-    grown
+    grown_texts
 }
