--- a/crates/hollywell/src/traffic/admin.rs
+++ b/crates/hollywell/src/traffic/admin.rs
@@ -1,4 +1,4 @@
-//! The operators' side: status, the table, and edits of it.
+//! Endpoints for operators: status, and edits of the table of trainers.
 
 use http::{Method, Request, Response, StatusCode};
 use hyper::body::Incoming;
@@ -15,11 +15,11 @@
     error::Kind,
 };
 
-/// Largest value of a row's numbers.
+/// Maximum weight of a row.
 const MAX_WEIGHT: u32 = 1_000_000;
 
-/// Answers an operator.
-pub(super) async fn answer(
+/// Handles a request to `/admin/...`.
+pub(super) async fn handle(
     server: &Server,
     request: Request<Incoming>,
     parts: &[&str],
@@ -47,21 +47,22 @@
         Ok(body) => body,
         Err(kind) => return server.refusal(kind, arrived),
     };
-    let Some(edit) = serde_json::from_slice::<Edit>(&body).ok().filter(is_sound) else {
+    let Some(edit) = serde_json::from_slice::<Edit>(&body).ok().filter(is_valid) else {
         return server.refusal(Kind::Malformed, arrived);
     };
-    let nothing = BufferedRequest {
+    // An edit has no request to pass on to a target.
+    let empty = BufferedRequest {
         method: Method::POST,
         path: String::new(),
         headers: http::HeaderMap::new(),
         body: bytes::Bytes::new(),
     };
-    let (number, replied) = server.registry.register(nothing);
+    let (number, outcome) = server.registry.register(empty);
     if server.control.try_send(Event::Edit { request: number, edit }).is_err() {
         server.registry.discard(number);
         return server.refusal(Kind::Overloaded, arrived);
     }
-    match replied.await {
+    match outcome.await {
         Ok(RequestOutcome::Edited(outcome @ Outcome::Accepted { .. })) => {
             json(StatusCode::OK, &outcome)
         }
@@ -71,10 +72,10 @@
     }
 }
 
-fn is_sound(edit: &Edit) -> bool {
-    let named = !edit.id.is_empty() && !edit.trainer.is_empty() && !edit.by.is_empty();
+fn is_valid(edit: &Edit) -> bool {
+    let has_names = !edit.id.is_empty() && !edit.trainer.is_empty() && !edit.by.is_empty();
     let row_fits = edit.row.as_ref().is_none_or(|row| {
         row.trainer == edit.trainer && (1..=MAX_WEIGHT).contains(&row.weight) && row.in_flight >= 1
     });
-    named && row_fits
+    has_names && row_fits
 }
--- a/crates/hollywell/src/traffic/calls.rs
+++ b/crates/hollywell/src/traffic/calls.rs
@@ -1,4 +1,4 @@
-//! Calls to plain services: `/svc/{pool}/{path at the target}`.
+//! Calls to plain services under `/svc/{pool}/{path at the target}`.
 
 use std::time::Duration;
 
@@ -20,10 +20,10 @@
     service::end_to_end,
 };
 
-/// Longest idempotency key, in bytes.
+/// Maximum length of an idempotency key, in bytes.
 const MAX_KEY_BYTES: usize = 256;
 
-/// Answers a call.
+/// Handles a call.
 pub(super) async fn call(
     server: &Server,
     request: Request<Incoming>,
@@ -32,33 +32,33 @@
 ) -> Response<Body> {
     let earliest = server.watchdog.earliest_arrival(arrived);
     let (head, body) = request.into_parts();
-    let read = server.read_body(body).await;
-    let prepared = read.and_then(|body| {
+    let body = server.read_body(body).await;
+    let prepared = body.and_then(|body| {
         let path = path_at_target(&head.uri, pool);
-        let sent =
+        let buffered =
             BufferedRequest { method: head.method, path, headers: end_to_end(&head.headers), body };
-        let call = describe(server, &head.headers, pool, &sent)?;
-        Ok((call, sent))
+        let call = describe(server, &head.headers, pool, &buffered)?;
+        Ok((call, buffered))
     });
-    let (call, sent) = match prepared {
+    let (call, buffered) = match prepared {
         Ok(prepared) => prepared,
         Err(kind) => return server.refusal(kind, arrived),
     };
-    let keyed = call.key.is_some();
-    let (number, replied) = server.registry.register(sent);
-    let mut guard = Guard { server, request: Some(number) };
+    let has_key = call.key.is_some();
+    let (number, outcome) = server.registry.register(buffered);
+    let mut guard = CancelGuard { server, request: Some(number) };
     let event = Event::Call { request: number, arrived: earliest, call };
     if server.control.try_send(event).is_err() {
-        let kind = if keyed { Kind::Unverified } else { Kind::Overloaded };
+        let kind = if has_key { Kind::Unverified } else { Kind::Overloaded };
         return server.refusal(kind, arrived);
     }
-    let replied = replied.await;
+    let outcome = outcome.await;
     guard.request = None;
-    match replied {
+    match outcome {
         Ok(RequestOutcome::Response { response, .. }) => {
-            let took = Duration::from_millis(server.clock.now().since(arrived));
-            server.metrics.answered(took);
-            log::debug!("request {}: answered {} in {took:?}", number.0, response.status);
+            let elapsed = Duration::from_millis(server.clock.now().since(arrived));
+            server.metrics.answered(elapsed);
+            log::debug!("request {}: answered {} in {elapsed:?}", number.0, response.status);
             into_http(response)
         }
         Ok(RequestOutcome::Refused { kind, .. }) => {
@@ -70,17 +70,17 @@
     }
 }
 
-/// Tells the reducer that the caller has gone, if the answer is not out when
-/// this is dropped.
-struct Guard<'a> {
+/// Reports to the reducer that the caller has disconnected if dropped before the
+/// response is ready.
+struct CancelGuard<'a> {
     server: &'a Server,
     request: Option<id::Request>,
 }
 
-impl Drop for Guard<'_> {
+impl Drop for CancelGuard<'_> {
     fn drop(&mut self) {
         if let Some(request) = self.request {
-            // If the queue is full the reducer answers into the void later.
+            // If the queue is full, the reducer's reply is discarded later.
             let _full = self.server.control.try_send(Event::CallerGone { request });
         }
     }
@@ -88,8 +88,8 @@
 
 fn path_at_target(uri: &http::Uri, pool: &str) -> String {
     let prefix = format!("/svc/{pool}");
-    let whole = uri.path_and_query().map_or("/", http::uri::PathAndQuery::as_str);
-    let rest = whole.strip_prefix(&prefix).unwrap_or(whole);
+    let full_path = uri.path_and_query().map_or("/", http::uri::PathAndQuery::as_str);
+    let rest = full_path.strip_prefix(&prefix).unwrap_or(full_path);
     match rest.starts_with('/') {
         true => rest.to_owned(),
         false => format!("/{rest}"),
@@ -100,7 +100,7 @@
     server: &Server,
     headers: &HeaderMap,
     pool: &str,
-    sent: &BufferedRequest,
+    request: &BufferedRequest,
 ) -> Result<Call, Kind> {
     let text = |name: &str| -> Result<Option<String>, Kind> {
         let Some(value) = headers.get(name) else {
@@ -112,24 +112,24 @@
     };
     Ok(Call {
         pool: pool.to_owned(),
-        // RFC 9110 calls PUT and DELETE idempotent too, but the services
-        // behind us say otherwise of some: only what changes nothing may be
-        // repeated without a key.
-        idempotent: matches!(sent.method, Method::GET | Method::HEAD | Method::OPTIONS),
+        // RFC 9110 also defines PUT and DELETE as idempotent, but not all
+        // services behind this one honour that. Only safe methods are repeated
+        // without an idempotency key.
+        idempotent: matches!(request.method, Method::GET | Method::HEAD | Method::OPTIONS),
         key: text("idempotency-key")?,
         home: text("hollywell-home")?,
-        digest: digest(pool, sent),
+        digest: digest(pool, request),
         timeout_ms: server.timeout_ms(headers)?,
     })
 }
 
-fn digest(pool: &str, sent: &BufferedRequest) -> u64 {
+fn digest(pool: &str, request: &BufferedRequest) -> u64 {
     let mut hash = Xxh3::new();
-    for part in [pool.as_bytes(), sent.method.as_str().as_bytes(), sent.path.as_bytes()] {
+    for part in [pool.as_bytes(), request.method.as_str().as_bytes(), request.path.as_bytes()] {
         hash.update(part);
         hash.update(&[0]);
     }
-    hash.update(&sent.body);
+    hash.update(&request.body);
     hash.digest()
 }
 
--- a/crates/hollywell/src/traffic/executor.rs
+++ b/crates/hollywell/src/traffic/executor.rs
@@ -1,8 +1,8 @@
-//! Carries out the reducer's effects.
+//! Executes the reducer's effects.
 //!
-//! Effects that only move bytes already here are carried out in order, at
-//! once; everything that talks to somebody else runs as a task of its own
-//! and reports its end as an event.
+//! Effects that only move local bytes are executed inline and in order. Effects
+//! that need network I/O run as separate tasks, which report their end as an
+//! event.
 
 use std::{sync::Arc, time::Duration};
 
@@ -29,34 +29,34 @@
     settings::{Limits, Platform},
 };
 
-/// Appends under way at once; the log serves all instances.
+/// Maximum number of concurrent appends, since all instances share the log.
 const MAX_APPENDS: usize = 8;
 
-/// What carrying out effects takes. Clones share everything.
+/// Executes effects. Clones share all state.
 #[derive(Clone, Debug)]
 pub struct Executor {
-    /// Where ends are reported.
+    /// Queue to the reducer, which receives the ends of effects.
     pub control: Handle,
-    /// The process's clock.
+    /// Clock of the process.
     pub clock: Clock,
-    /// The bytes held.
+    /// Buffered requests and responses.
     pub registry: Registry,
-    /// Talks to peers.
+    /// Client for other instances.
     pub peers: peer::Client,
-    /// Talks to targets and the platform.
+    /// Client for targets and the platform.
     pub http: Client,
-    /// Where the platform is.
+    /// Addresses of the platform.
     pub platform: Platform,
-    /// Largest answer of a target, in bytes.
+    /// Maximum size of a target's response, in bytes.
     pub max_response_bytes: usize,
-    /// Counts.
+    /// Metrics of the process.
     pub metrics: Metrics,
     appends: Arc<Semaphore>,
     exit: Arc<Notify>,
 }
 
 impl Executor {
-    /// An executor that reports to `control`.
+    /// Creates an executor that reports to `control`.
     #[must_use]
     pub fn new(
         control: Handle,
@@ -79,12 +79,12 @@
         }
     }
 
-    /// Completes when the reducer has said that the process may end.
+    /// Waits until the reducer allows the process to exit.
     pub async fn exited(&self) {
         self.exit.notified().await;
     }
 
-    /// Carries out effects until there are no more.
+    /// Executes effects until the channel is closed.
     pub async fn run(self, mut effects: mpsc::Receiver<Effect>) {
         while let Some(effect) = effects.recv().await {
             self.execute(effect);
@@ -194,8 +194,8 @@
 
     fn append(&self, record: Record) {
         let Ok(permit) = Arc::clone(&self.appends).try_acquire_owned() else {
-            // The reducer repeats whatever is not read back.
-            log::debug!("append dropped: {MAX_APPENDS} are under way");
+            // The reducer repeats records that it does not read back.
+            log::debug!("append dropped: {MAX_APPENDS} appends are in progress");
             return;
         };
         let (http, platform) = (self.http.clone(), self.platform.clone());
@@ -242,8 +242,8 @@
     }
 
     async fn order(&self, target: String, address: &str, order: &Order, before: Time) {
-        let in_time = self.clock.now() < before;
-        let taken = in_time && engine::order(&self.http, address, order).await;
+        let is_valid = self.clock.now() < before;
+        let taken = is_valid && engine::order(&self.http, address, order).await;
         self.control.send(Event::OrderEnded { target, taken }).await;
     }
 }
--- a/crates/hollywell/src/traffic/mod.rs
+++ b/crates/hollywell/src/traffic/mod.rs
@@ -1,8 +1,8 @@
-//! The traffic side: it takes callers' requests, holds their bytes, and
-//! carries out the reducer's effects.
+//! The data path: accepts requests, buffers their bytes, and executes the
+//! reducer's effects.
 //!
-//! Bytes never pass through the reducer: they wait in the
-//! [`registry::Registry`] under the number by which the reducer knows them.
+//! Bodies never pass through the reducer. They are buffered in the
+//! [`registry::Registry`] under the number by which the reducer identifies them.
 
 pub mod executor;
 pub mod registry;
--- a/crates/hollywell/src/traffic/registry.rs
+++ b/crates/hollywell/src/traffic/registry.rs
@@ -1,5 +1,5 @@
-//! Bytes that wait for a decision: requests under their number, targets'
-//! answers and samples under the dispatch that produced them.
+//! Buffers that await a decision of the reducer: requests by number, responses
+//! and samples by the dispatch that produced them.
 
 use std::{
     collections::{HashMap, VecDeque},
@@ -23,68 +23,68 @@
     error::Kind,
 };
 
-/// A request's bytes, as a target is to get them.
+/// A request as it is sent to a target.
 #[derive(Clone, Debug)]
 pub struct BufferedRequest {
     /// The method.
     pub method: Method,
     /// Path and query at the target.
     pub path: String,
-    /// Headers without those of the connection.
+    /// End-to-end headers.
     pub headers: HeaderMap,
     /// The body.
     pub body: Bytes,
 }
 
-/// A target's whole answer.
+/// A target's complete response.
 #[derive(Clone, Debug, Default)]
 pub struct BufferedResponse {
     /// The status.
     pub status: u16,
-    /// Headers without those of the connection.
+    /// End-to-end headers.
     pub headers: HeaderMap,
     /// The body.
     pub body: Bytes,
 }
 
-/// What a request was answered with.
+/// How a request ended.
 #[derive(Debug)]
 pub enum RequestOutcome {
-    /// A target's answer.
+    /// A target responded.
     Response {
         /// The response.
         response: BufferedResponse,
-        /// What this instance says of itself as an owner.
+        /// This instance's state as an owner, for the forwarding instance.
         reading: Option<Reading>,
     },
-    /// A refusal.
+    /// The request was refused.
     Refused {
-        /// Why.
+        /// The reason.
         kind: Kind,
-        /// What this instance says of itself as an owner.
+        /// This instance's state as an owner, for the forwarding instance.
         reading: Option<Reading>,
     },
-    /// What became of an edit.
+    /// Outcome of an edit.
     Edited(table::Outcome),
 }
 
-/// One group of a step, with its prompt.
+/// The prompt of one group of a step.
 #[derive(Clone, Debug)]
 pub struct Prompt {
     /// The prompt's text.
     pub text: String,
-    /// Tokens to generate at most.
+    /// Maximum number of tokens to generate.
     pub max_tokens: u32,
 }
 
-/// An open step's prompts and the stream to its trainer.
+/// Prompts of an open step, and the stream to its trainer.
 #[derive(Clone, Debug)]
 pub struct OpenStep {
     /// The trainer.
     pub trainer: String,
     /// Prompts by group.
     pub prompts: Arc<HashMap<u32, Prompt>>,
-    /// Lines to the trainer.
+    /// Lines of the response to the trainer.
     pub lines: mpsc::Sender<Bytes>,
 }
 
@@ -93,8 +93,8 @@
     requests: HashMap<Request, (Arc<BufferedRequest>, oneshot::Sender<RequestOutcome>)>,
     relayed: HashMap<Request, BufferedResponse>,
     responses: HashMap<Dispatch, BufferedResponse>,
-    /// The answers' dispatches in the order in which they came, those that
-    /// were forgotten among them.
+    /// Dispatches in the order in which their responses arrived. May contain
+    /// dispatches that were forgotten meanwhile.
     insertion_order: VecDeque<Dispatch>,
     response_bytes: usize,
     steps: HashMap<Request, OpenStep>,
@@ -110,7 +110,7 @@
     }
 }
 
-/// The bytes that one instance holds. Clones share them.
+/// The buffers of one instance. Clones share them.
 #[derive(Clone, Debug)]
 pub struct Registry {
     buffers: Arc<Mutex<Buffers>>,
@@ -119,9 +119,10 @@
 }
 
 impl Registry {
-    /// A registry that keeps targets' answers of at most so many bytes in
-    /// all. The oldest make room; a key whose answer is gone is answered
-    /// "unknown" when it is sent again.
+    /// Creates a registry that stores at most `max_response_bytes` of targets'
+    /// responses in total. The oldest are evicted first; if a request is repeated
+    /// under an idempotency key whose response was evicted, its outcome is reported
+    /// as unknown.
     #[must_use]
     pub fn new(max_response_bytes: usize) -> Registry {
         let (buffers, last_request) = Default::default();
@@ -129,18 +130,18 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, Buffers> {
-        // Every critical section is a single map operation, so a panic in
-        // another thread cannot have left the maps half changed.
+        // Every critical section is a single map operation, so a panic in another
+        // thread cannot leave the maps in an inconsistent state.
         self.buffers.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// A number for a new request.
+    /// Allocates a number for a new request.
     #[must_use]
     pub fn next_request(&self) -> Request {
         Request(self.last_request.fetch_add(1, Ordering::Relaxed) + 1)
     }
 
-    /// Holds a request until it is replied to.
+    /// Stores a request until it is replied to.
     #[must_use]
     pub fn register(&self, sent: BufferedRequest) -> (Request, oneshot::Receiver<RequestOutcome>) {
         let request = self.next_request();
@@ -149,38 +150,38 @@
         (request, outcome)
     }
 
-    /// The bytes of a request that is not replied to yet.
+    /// Returns a request that has not been replied to yet.
     #[must_use]
     pub fn request(&self, request: Request) -> Option<Arc<BufferedRequest>> {
         self.lock().requests.get(&request).map(|(sent, _)| Arc::clone(sent))
     }
 
-    /// Replies to a request and drops its bytes.
+    /// Replies to a request and frees its buffer.
     pub fn reply(&self, request: Request, outcome: RequestOutcome) {
         let removed = self.lock().requests.remove(&request);
         if let Some((_, reply)) = removed {
-            // The caller may have gone; then nobody needs the answer.
-            let _gone = reply.send(outcome);
+            // The caller may have disconnected; the reply is then discarded.
+            let _disconnected = reply.send(outcome);
         }
     }
 
-    /// Drops a request without a reply.
+    /// Frees a request without a reply.
     pub fn discard(&self, request: Request) {
         self.lock().requests.remove(&request);
     }
 
-    /// Keeps the answer that the owner of a key sent back.
+    /// Stores the response that the owner of a key returned.
     pub fn store_relayed(&self, request: Request, response: BufferedResponse) {
         self.lock().relayed.insert(request, response);
     }
 
-    /// Takes the answer that the owner of a key sent back.
+    /// Removes and returns the response that the owner of a key returned.
     #[must_use]
     pub fn take_relayed(&self, request: Request) -> Option<BufferedResponse> {
         self.lock().relayed.remove(&request)
     }
 
-    /// Keeps a target's answer until it is forgotten.
+    /// Stores a target's response until it is forgotten or evicted.
     pub fn store_response(&self, dispatch: Dispatch, response: BufferedResponse) {
         let mut buffers = self.lock();
         buffers.response_bytes += response.body.len();
@@ -194,13 +195,13 @@
         }
     }
 
-    /// A target's answer.
+    /// Returns a stored response of a target.
     #[must_use]
     pub fn response(&self, dispatch: Dispatch) -> Option<BufferedResponse> {
         self.lock().responses.get(&dispatch).cloned()
     }
 
-    /// Drops what a dispatch produced.
+    /// Frees the response and the sample of a dispatch.
     pub fn forget(&self, dispatch: Dispatch) {
         let mut buffers = self.lock();
         buffers.drop_response(dispatch);
@@ -214,24 +215,24 @@
         }
     }
 
-    /// Holds an open step.
+    /// Stores an open step.
     pub fn open_step(&self, request: Request, step: OpenStep) {
         self.lock().steps.insert(request, step);
     }
 
-    /// An open step.
+    /// Returns an open step.
     #[must_use]
     pub fn step(&self, request: Request) -> Option<OpenStep> {
         self.lock().steps.get(&request).cloned()
     }
 
-    /// Drops a step; its stream ends once all lines are sent.
+    /// Removes a step. Its stream ends once all lines are sent.
     #[must_use]
     pub fn close_step(&self, request: Request) -> Option<OpenStep> {
         self.lock().steps.remove(&request)
     }
 
-    /// The prompt of a slot, with the trainer.
+    /// Returns the trainer and the prompt of a slot.
     #[must_use]
     pub fn prompt(&self, request: Request, slot: Slot) -> Option<(String, Prompt)> {
         let buffers = self.lock();
@@ -240,18 +241,18 @@
         Some((step.trainer.clone(), prompt.clone()))
     }
 
-    /// Keeps a sample's text until it is delivered or forgotten.
+    /// Stores the text of a sample until it is delivered or forgotten.
     pub fn store_sample(&self, dispatch: Dispatch, text: String) {
         self.lock().samples.insert(dispatch, text);
     }
 
-    /// Takes a sample's text.
+    /// Removes and returns the text of a sample.
     #[must_use]
     pub fn take_sample(&self, dispatch: Dispatch) -> Option<String> {
         self.lock().samples.remove(&dispatch)
     }
 
-    /// Notes that an attempt runs, and returns what tells it to stop.
+    /// Registers a running attempt and returns the signal that cancels it.
     #[must_use]
     pub fn start_attempt(&self, dispatch: Dispatch) -> Arc<Notify> {
         let stop = Arc::new(Notify::new());
@@ -259,12 +260,12 @@
         stop
     }
 
-    /// Notes that an attempt has ended.
+    /// Unregisters an attempt that has ended.
     pub fn end_attempt(&self, dispatch: Dispatch) {
         self.lock().running.remove(&dispatch);
     }
 
-    /// Tells an attempt to stop, if it still runs.
+    /// Cancels an attempt if it still runs.
     pub fn cancel_attempt(&self, dispatch: Dispatch) {
         let running = self.lock().running.get(&dispatch).cloned();
         if let Some(stop) = running {
--- a/crates/hollywell/src/traffic/server.rs
+++ b/crates/hollywell/src/traffic/server.rs
@@ -1,4 +1,4 @@
-//! The HTTP side towards callers, trainers and operators.
+//! HTTP server for callers, trainers and operators.
 
 use std::{
     convert::Infallible,
@@ -25,37 +25,37 @@
     watchdog::Watchdog,
 };
 
-/// The body of every answer.
+/// The body of every response.
 pub type Body = UnsyncBoxBody<Bytes, Infallible>;
 
-/// Header that says whether a refused request ran.
+/// Header that states whether a refused request may have run.
 pub const OUTCOME: &str = "hollywell-outcome";
 
 /// How long a stopping instance waits for another connection.
-const LINGER: Duration = Duration::from_millis(300);
-/// How long a stopping instance accepts connections at most.
-const LONGEST_LINGER: Duration = Duration::from_secs(5);
+const DRAIN_WAIT: Duration = Duration::from_millis(300);
+/// Maximum time for which a stopping instance accepts connections.
+const MAX_DRAIN: Duration = Duration::from_secs(5);
 
-/// What answering requests takes.
+/// Handles requests.
 #[derive(Clone, Debug)]
 pub struct Server {
-    /// Where events go.
+    /// Queue to the reducer.
     pub control: Handle,
-    /// The process's clock.
+    /// Clock of the process.
     pub clock: Clock,
-    /// The bytes held.
+    /// Buffered requests and responses.
     pub registry: Registry,
-    /// Whether the process was paused.
+    /// Detects pauses of the process.
     pub watchdog: Watchdog,
-    /// What one caller can take up.
+    /// Limits on the resources of one caller.
     pub limits: Limits,
-    /// Counts.
+    /// Metrics of the process.
     pub metrics: Metrics,
 }
 
 impl Server {
-    /// Serves until `stop` turns true, no connection has come for
-    /// [`LINGER`] after that, and every request in flight is answered.
+    /// Serves until `stop` turns true, no connection has arrived for [`DRAIN_WAIT`]
+    /// afterwards, and every request in flight is answered.
     pub async fn serve(self, listener: TcpListener, mut stop: watch::Receiver<bool>) {
         let server = Arc::new(self);
         let mut connections = JoinSet::new();
@@ -68,13 +68,13 @@
                 () = stopped(&mut stop) => break,
             }
         }
-        // Callers that the balancer sent before it learnt of the stop are
-        // answered. The wait starts anew with each, so that a process that
-        // was paused finds those that came meanwhile.
-        let last = Instant::now() + LONGEST_LINGER;
-        while let Ok(accepted) = timeout(LINGER, listener.accept()).await {
+        // Connections that the load balancer made before it noticed the stop are
+        // still served. The wait restarts with each connection, so that a process
+        // that was paused finds those that arrived meanwhile.
+        let deadline = Instant::now() + MAX_DRAIN;
+        while let Ok(accepted) = timeout(DRAIN_WAIT, listener.accept()).await {
             server.accept(accepted, &mut connections, &stop);
-            if Instant::now() > last {
+            if Instant::now() > deadline {
                 break;
             }
         }
@@ -97,13 +97,13 @@
     }
 
     async fn connection(self: Arc<Server>, stream: TcpStream, mut stop: watch::Receiver<bool>) {
-        let _no_delay = stream.set_nodelay(true);
+        let _best_effort = stream.set_nodelay(true);
         let receive = Duration::from_millis(self.limits.receive_ms);
-        let first = Notify::new();
+        let first_request = Notify::new();
         let service = service_fn(|request| {
-            first.notify_one();
+            first_request.notify_one();
             let server = Arc::clone(&self);
-            async move { Ok::<_, Infallible>(server.answer(request).await) }
+            async move { Ok::<_, Infallible>(server.handle(request).await) }
         });
         let connection = http1::Builder::new()
             .timer(TokioTimer::new())
@@ -111,10 +111,10 @@
             .max_buf_size(self.limits.header_bytes)
             .serve_connection(TokioIo::new(stream), service);
         tokio::pin!(connection);
-        // A new connection is not closed before its first request is read:
-        // the caller has sent it already, and would be cut off.
+        // A new connection is not shut down before its first request is read: the
+        // caller may have sent it already and would get no response.
         let may_close = async {
-            first.notified().await;
+            first_request.notified().await;
             stopped(&mut stop).await;
         };
         let ended = tokio::select! {
@@ -129,7 +129,7 @@
         }
     }
 
-    async fn answer(&self, request: Request<Incoming>) -> Response<Body> {
+    async fn handle(&self, request: Request<Incoming>) -> Response<Body> {
         let arrived = self.clock.now();
         let path = request.uri().path().to_owned();
         let parts: Vec<&str> = path.trim_matches('/').split('/').collect();
@@ -139,7 +139,7 @@
             (&Method::GET, ["metrics"]) => self.metrics(),
             (&Method::POST, ["v1", "steps"]) => steps::open(self, request).await,
             (_, ["svc", pool, ..]) => calls::call(self, request, pool, arrived).await,
-            (_, ["admin", ..]) => admin::answer(self, request, &parts).await,
+            (_, ["admin", ..]) => admin::handle(self, request, &parts).await,
             _ => self.refusal(Kind::NoRoute, arrived),
         }
     }
@@ -163,25 +163,25 @@
         }
     }
 
-    /// Answers with a refusal from the closed table, and counts it.
+    /// Creates the response of a refusal and counts it.
     pub(super) fn refusal(&self, kind: Kind, arrived: crate::core::time::Time) -> Response<Body> {
-        let took = Duration::from_millis(self.clock.now().since(arrived));
-        self.metrics.refused(kind, took);
+        let elapsed = Duration::from_millis(self.clock.now().since(arrived));
+        self.metrics.refused(kind, elapsed);
         refusal(kind)
     }
 
-    /// Reads a request's whole body, within the limits of size and time.
+    /// Reads the complete body of a request within the limits of size and time.
     pub(super) async fn read_body(&self, body: Incoming) -> Result<Bytes, Kind> {
-        let whole = Limited::new(body, self.limits.body_bytes).collect();
+        let collected = Limited::new(body, self.limits.body_bytes).collect();
         let receive = Duration::from_millis(self.limits.receive_ms);
-        match tokio::time::timeout(receive, whole).await {
+        match tokio::time::timeout(receive, collected).await {
             Ok(Ok(body)) => Ok(body.to_bytes()),
             Ok(Err(error)) if error.is::<LengthLimitError>() => Err(Kind::TooLarge),
             Ok(Err(_)) | Err(_) => Err(Kind::Malformed),
         }
     }
 
-    /// How long a caller waits, from its header or by default.
+    /// Returns the caller's timeout from its header, or the default.
     pub(super) fn timeout_ms(&self, headers: &HeaderMap) -> Result<u64, Kind> {
         let Some(value) = headers.get("hollywell-timeout-ms") else {
             return Ok(self.limits.timeout_ms);
@@ -192,12 +192,12 @@
     }
 }
 
-/// Completes when `stop` turns true, or when nobody can turn it any longer.
+/// Completes when `stop` turns true or its sender is dropped.
 async fn stopped(stop: &mut watch::Receiver<bool>) {
     let _stopped = stop.wait_for(|stop| *stop).await;
 }
 
-/// The answer that the closed table gives to a kind.
+/// Creates the response for an error kind.
 pub fn refusal(kind: Kind) -> Response<Body> {
     let answer = kind.answer();
     let body = serde_json::json!({
@@ -219,7 +219,7 @@
     response
 }
 
-/// A body that is all here.
+/// Creates a body from complete content.
 pub fn full_body(bytes: Bytes) -> Body {
     Full::new(bytes).boxed_unsync()
 }
@@ -230,7 +230,7 @@
     response
 }
 
-/// A JSON answer.
+/// Creates a JSON response.
 pub fn json(status: StatusCode, value: &impl serde::Serialize) -> Response<Body> {
     let bytes = serde_json::to_vec(value).unwrap_or_default();
     let mut response = Response::new(full_body(Bytes::from(bytes)));
--- a/crates/hollywell/src/traffic/steps.rs
+++ b/crates/hollywell/src/traffic/steps.rs
@@ -1,5 +1,5 @@
-//! Steps: a trainer opens one with a POST, and samples stream back as lines
-//! of JSON over the answer.
+//! Steps: a trainer opens a step with a POST request, and the response streams its
+//! samples as lines of JSON.
 
 use std::{collections::HashMap, convert::Infallible, sync::Arc};
 
@@ -24,9 +24,9 @@
     error::Kind,
 };
 
-/// Most samples that one opening may ask for.
+/// Maximum number of samples in one request.
 const MAX_SAMPLES: usize = 65_536;
-/// Tokens to generate where the trainer does not say.
+/// Maximum number of tokens to generate if the trainer names none.
 const DEFAULT_MAX_TOKENS: u32 = 256;
 
 /// A step as a trainer posts it.
@@ -34,37 +34,37 @@
 pub struct StepBody {
     /// The trainer.
     pub trainer: String,
-    /// The trainer's number for the step.
+    /// Number of the step, assigned by the trainer.
     pub step: u64,
-    /// Counts how often the trainer opened this step.
+    /// How often the trainer has opened this step before.
     #[serde(default)]
     pub attempt: u32,
-    /// The newest version that the trainer has published.
+    /// Newest weight version that the trainer has published.
     #[serde(default)]
     pub version: u64,
-    /// How long it waits, in milliseconds.
+    /// How long the trainer waits, in milliseconds.
     pub timeout_ms: u64,
-    /// What it wants.
+    /// The requested groups.
     pub groups: Vec<GroupBody>,
 }
 
 /// A group as a trainer posts it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GroupBody {
-    /// The trainer's number for the group.
+    /// Number of the group, assigned by the trainer.
     pub group: u32,
-    /// The prompt that its samples share.
+    /// The prompt that the group's samples share.
     pub prompt: String,
-    /// Number of samples in it.
+    /// Number of samples in the group.
     pub samples: u32,
-    /// Indices that the trainer has already.
+    /// Indices of samples that the trainer already has.
     #[serde(default)]
     pub have: Vec<u32>,
-    /// Tokens to generate at most.
+    /// Maximum number of tokens to generate.
     pub max_tokens: Option<u32>,
 }
 
-/// One line of a step's answer.
+/// One line of a step's response.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Line {
@@ -74,23 +74,23 @@
         group: u32,
         /// Its index in the group.
         index: u32,
-        /// The weight versions that produced it, in order.
+        /// Weight versions that generated the sample, in order.
         versions: Vec<u64>,
         /// Its text.
         text: String,
     },
     /// The last line.
     End {
-        /// Samples that did not come.
+        /// Number of samples that were not delivered.
         missing: usize,
-        /// Why the stream ends, if the step is not whole.
+        /// Why the stream ends, if the step is incomplete.
         kind: Option<Kind>,
-        /// When to open the step again, in seconds.
+        /// Time after which to open the step again, in seconds.
         retry_after_s: Option<u32>,
     },
 }
 
-/// Opens a step.
+/// Handles a request to open a step.
 pub(super) async fn open(server: &Server, request: Request<Incoming>) -> Response<Body> {
     let arrived = server.clock.now();
     let body = match server.read_body(request.into_body()).await {
@@ -104,8 +104,8 @@
         return server.refusal(kind, arrived);
     }
     let opening = opening(&step);
-    let room = opening.groups.iter().map(|group| group.missing.len()).sum::<usize>() + 1;
-    let (lines, stream) = mpsc::channel(room);
+    let max_lines = opening.groups.iter().map(|group| group.missing.len()).sum::<usize>() + 1;
+    let (lines, stream) = mpsc::channel(max_lines);
     let number = server.registry.next_request();
     let open_step = OpenStep { trainer: step.trainer.clone(), prompts: prompts(&step), lines };
     server.registry.open_step(number, open_step);
@@ -113,11 +113,11 @@
         let _step = server.registry.close_step(number);
         return server.refusal(Kind::Overloaded, arrived);
     }
-    let watch = Watch { server: server.clone(), request: number };
-    respond(stream, watch)
+    let guard = CancelGuard { server: server.clone(), request: number };
+    respond(stream, guard)
 }
 
-/// Faults that can be answered with a status, before the stream begins.
+/// Returns the reason to refuse a step with a status before its stream begins.
 fn refusal(server: &Server, step: &StepBody) -> Option<Kind> {
     let view = server.control.view();
     let samples: usize = step.groups.iter().map(|group| group.samples as usize).sum();
@@ -159,13 +159,14 @@
     Arc::new(step.groups.iter().map(prompt).collect())
 }
 
-/// Tells the reducer that a trainer has gone when its stream is dropped.
-struct Watch {
+/// Reports to the reducer that the trainer has disconnected if its stream is
+/// dropped before the step has ended.
+struct CancelGuard {
     server: Server,
     request: id::Request,
 }
 
-impl Drop for Watch {
+impl Drop for CancelGuard {
     fn drop(&mut self) {
         if self.server.registry.close_step(self.request).is_some() {
             let event = Event::CallerGone { request: self.request };
@@ -174,10 +175,10 @@
     }
 }
 
-fn respond(stream: mpsc::Receiver<Bytes>, watch: Watch) -> Response<Body> {
+fn respond(stream: mpsc::Receiver<Bytes>, guard: CancelGuard) -> Response<Body> {
     let frames = ReceiverStream::new(stream).map(move |line| {
-        // The stream owns the watch, so that it is dropped with it.
-        let _watched = &watch;
+        // The stream owns the guard, so that both are dropped together.
+        let _guard = &guard;
         Ok::<_, Infallible>(Frame::data(line))
     });
     let mut response = Response::new(StreamBody::new(frames).boxed_unsync());
@@ -191,12 +192,12 @@
         return false;
     };
     bytes.push(b'\n');
-    // There is room for every line of the step; a failure means that the
-    // trainer has gone, which the dropped stream reports.
+    // The channel has capacity for every line of the step. A failure means that
+    // the trainer has disconnected, which the dropped stream reports.
     lines.try_send(Bytes::from(bytes)).is_ok()
 }
 
-/// Passes a sample on to its trainer.
+/// Sends a sample to its trainer.
 pub(super) fn deliver(
     registry: &Registry,
     request: id::Request,
@@ -210,7 +211,7 @@
     let (group, index) = (slot.group, slot.index);
     let line = Line::Sample { group, index, versions: versions.to_vec(), text };
     if !write(&step.lines, &line) {
-        log::info!("step {} of {}: trainer has gone", request.0, step.trainer);
+        log::info!("step {} of {}: trainer has disconnected", request.0, step.trainer);
     }
 }
 
--- a/crates/hollywell/src/watchdog.rs
+++ b/crates/hollywell/src/watchdog.rs
@@ -1,10 +1,10 @@
-//! Tells from when on a request may have been waiting in a socket.
+//! Determines the earliest time at which a request may have arrived.
 //!
-//! A process that was paused finds requests in its sockets when it goes on.
-//! They arrived at some time since the pause began, and an owner that refused
-//! their key meanwhile must be able to tell: such a request counts as arrived
-//! when the pause began. Reading the socket's own time was weighed and ruled
-//! out: the system tells it for datagrams only.
+//! A process that was paused finds requests in its sockets when it resumes. They
+//! may have arrived at any time since the pause began, and an owner that refused
+//! their key meanwhile must account for that. Such a request therefore counts as
+//! arrived when the pause began. Socket timestamps are not an alternative: Linux
+//! provides them for datagrams only.
 
 use std::sync::{
     Arc,
@@ -15,15 +15,15 @@
 
 use crate::{clock::Clock, core::time::Time};
 
-/// Time between ticks, in milliseconds.
+/// Time between heartbeats, in milliseconds.
 const HEARTBEAT_MS: u64 = 50;
-/// Silence that counts as a pause, in milliseconds.
+/// Time without a heartbeat that counts as a pause, in milliseconds.
 const PAUSE_THRESHOLD_MS: u64 = 500;
-/// How long after a pause requests may still be ones that waited through it,
+/// Time after a pause during which requests that arrived in it may still be read,
 /// in milliseconds.
 const CATCH_UP_MS: u64 = 1_000;
 
-/// The process's own heartbeat. Clones share it.
+/// Detects pauses of the process by its own heartbeat. Clones share their state.
 ///
 /// # Example
 ///
@@ -37,9 +37,9 @@
 /// assert_eq!(watchdog.earliest_arrival(Time(4_060)), Time(1_050));
 /// watchdog.heartbeat(Time(4_061));
 /// assert_eq!(watchdog.earliest_arrival(Time(4_100)), Time(1_050));
-/// // After a second of running, whatever waited has been read.
-/// for beat in [4_500, 4_900, 5_090] {
-///     watchdog.heartbeat(Time(beat));
+/// // One second after the pause, all waiting requests have been read.
+/// for time in [4_500, 4_900, 5_090] {
+///     watchdog.heartbeat(Time(time));
 /// }
 /// assert_eq!(watchdog.earliest_arrival(Time(5_100)), Time(5_100));
 /// ```
@@ -51,7 +51,7 @@
 }
 
 impl Watchdog {
-    /// A process that ticks for the first time.
+    /// Creates a watchdog whose first heartbeat is at `now`.
     #[must_use]
     pub fn new(now: Time) -> Watchdog {
         let last_heartbeat = Arc::new(AtomicU64::new(now.0));
@@ -59,7 +59,7 @@
         Watchdog { last_heartbeat, paused_at, caught_up_at }
     }
 
-    /// Notes that the process runs.
+    /// Records that the process runs.
     pub fn heartbeat(&self, now: Time) {
         let last_heartbeat = Time(self.last_heartbeat.load(Ordering::Acquire));
         if now.since(last_heartbeat) >= PAUSE_THRESHOLD_MS {
@@ -69,7 +69,8 @@
         self.last_heartbeat.store(now.0, Ordering::Release);
     }
 
-    /// When a request that is read now may have arrived at the earliest.
+    /// Returns the earliest time at which a request that is read now may have
+    /// arrived.
     #[must_use]
     pub fn earliest_arrival(&self, now: Time) -> Time {
         let last_heartbeat = Time(self.last_heartbeat.load(Ordering::Acquire));
@@ -82,7 +83,7 @@
         now
     }
 
-    /// Beats for as long as the process runs.
+    /// Sends heartbeats for as long as the process runs.
     pub async fn run(self, clock: Clock) {
         let mut ticks = interval(std::time::Duration::from_millis(HEARTBEAT_MS));
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
