--- a/crates/hollywell/src/clock.rs
+++ b/crates/hollywell/src/clock.rs
@@ -1,9 +1,9 @@
-//! The process's clock, as decisions see it.
+//! The clock on which decisions are based.
 //!
-//! A machine may be suspended for seconds, and the steady clock that timers
-//! go by stands still meanwhile. Others' leases, members and facts age all the
-//! same. So what an instance believes to hold is judged by a clock that counts
-//! that time; a timer that fires late only delays the judgement.
+//! While a machine is suspended, which may take seconds, the monotonic clock of
+//! timers stands still, but leases and memberships at other machines continue to
+//! expire. Whether an instance still holds them is therefore determined by a clock
+//! that includes suspended time. A timer that fires late only delays the check.
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
 
 use crate::core::time::Time;
 
-/// Time since the machine's start, with that in which it was suspended.
+/// Returns the time since the machine booted, including time in suspension.
 ///
 /// # Example
 ///
@@ -24,17 +24,17 @@
 ///
 /// # Panics
 ///
-/// If the kernel does not know that clock: it has since Linux 2.6.39, and no
-/// other clock would do.
+/// If the kernel does not support `CLOCK_BOOTTIME`, which Linux has since 2.6.39.
+/// No other clock is a substitute.
 #[must_use]
 pub fn since_boot() -> Duration {
     match clock_gettime(ClockId::CLOCK_BOOTTIME) {
         Ok(time) => Duration::from(time),
-        Err(error) => panic!("no clock that counts suspended time: {error}"),
+        Err(error) => panic!("CLOCK_BOOTTIME is not available: {error}"),
     }
 }
 
-/// The process's clock, which never goes back.
+/// A monotonic clock of the process that includes suspended time.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     start: Duration,
@@ -42,20 +42,19 @@
 }
 
 impl Clock {
-    /// A clock that starts at one second, so that no instant of the run is
-    /// mistaken for "never".
+    /// Creates a clock that starts at one second, because time zero means "never".
     #[must_use]
     pub fn start() -> Clock {
         Clock::reading(since_boot)
     }
 
-    /// The same from another source, for tests.
+    /// Creates a clock that reads another source, for tests.
     #[must_use]
     pub fn reading(read: fn() -> Duration) -> Clock {
         Clock { start: read(), read }
     }
 
-    /// The instant now.
+    /// Returns the current time.
     #[must_use]
     pub fn now(&self) -> Time {
         let elapsed = (self.read)().saturating_sub(self.start);
@@ -63,7 +62,7 @@
         Time(1_000).after(elapsed_ms)
     }
 
-    /// Time left until an instant; zero if it has passed.
+    /// Returns the time left until `until`, or zero if it has passed.
     #[must_use]
     pub fn left(&self, until: Time) -> Duration {
         Duration::from_millis(until.since(self.now()))
--- a/crates/hollywell/src/control.rs
+++ b/crates/hollywell/src/control.rs
@@ -1,10 +1,10 @@
-//! The one control thread: it owns the reducer's state, feeds it events and
-//! hands its effects out.
+//! The control thread, which owns the reducer's state, feeds it events and
+//! publishes its effects.
 //!
-//! Traffic threads hand events in through a [`Handle`] on a bounded queue
-//! and get effects on another. A full queue is the caller's to refuse; the
-//! control thread itself never waits for traffic longer than it takes to
-//! pass an effect on.
+//! Traffic threads submit events through a [`Handle`] to a bounded queue and
+//! receive effects from another. If the queue is full, the submitter refuses the
+//! request. The control thread blocks on traffic only while the queue of effects
+//! is full.
 
 use std::{
     fs::File,
@@ -32,14 +32,14 @@
 
 /// Time between ticks.
 pub const TICK: Duration = Duration::from_millis(100);
-/// Longest time for which a [`View`] is out of date, in milliseconds.
+/// Maximum age of a [`View`] while events arrive, in milliseconds.
 const VIEW_MS: u64 = 200;
 
-/// The queue was full, or the control thread has ended.
+/// The queue is full, or the control thread has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct QueueFull;
 
-/// Where traffic hands its events in.
+/// Submits events to the control thread.
 #[derive(Clone, Debug)]
 pub struct Handle {
     events: mpsc::Sender<Event>,
@@ -47,41 +47,42 @@
 }
 
 impl Handle {
-    /// Hands an event in if there is room for it.
+    /// Submits an event without waiting.
     ///
     /// # Errors
     ///
-    /// [`QueueFull`] if there is none; the caller refuses what it stands for.
+    /// [`QueueFull`] if the queue has no capacity; the caller then refuses the
+    /// request that the event stands for.
     pub fn try_send(&self, event: Event) -> Result<(), QueueFull> {
         self.events.try_send(event).map_err(|_| QueueFull)
     }
 
-    /// Hands an event in, waiting for room: for events that must not be
+    /// Submits an event, waiting for capacity. Used for events that must not be
     /// lost, such as the end of an attempt.
     pub async fn send(&self, event: Event) {
-        // A closed queue means that the process ends; nobody is left to tell.
+        // A closed queue means that the process is exiting.
         let _closed = self.events.send(event).await;
     }
 
-    /// What the reducer's state looked like a moment ago.
+    /// Returns the latest published view of the reducer's state.
     #[must_use]
     pub fn view(&self) -> Arc<View> {
         self.view.borrow().clone()
     }
 }
 
-/// What the control thread is started with.
+/// Options of the control thread.
 #[derive(Debug)]
 pub struct Options<'a> {
     /// The reducer's configuration.
     pub config: Config,
-    /// Room in each queue.
+    /// Capacity of each queue.
     pub queue: usize,
     /// File to record events to, if any.
     pub trace: Option<&'a Path>,
-    /// Where to count.
+    /// Metrics of the process.
     pub metrics: Metrics,
-    /// The process's clock.
+    /// Clock of the process.
     pub clock: Clock,
 }
 
@@ -105,7 +106,7 @@
         metrics: options.metrics,
         trace,
         view_out,
-        viewed_at: Time(0),
+        published_at: Time(0),
     };
     thread::Builder::new()
         .name(String::from("control"))
@@ -119,7 +120,7 @@
     metrics: Metrics,
     trace: Option<BufWriter<File>>,
     view_out: watch::Sender<Arc<View>>,
-    viewed_at: Time,
+    published_at: Time,
 }
 
 impl Control {
@@ -146,15 +147,15 @@
         let line = Line::Event { now, event: Box::new(event.clone()) };
         let written = line.write(trace);
         if let Err(error) = written {
-            log::warn!("trace recording stops: {error}");
+            log::warn!("trace recording stopped: {error}");
             self.trace = None;
         }
     }
 
     fn publish(&mut self, now: Time, event: &Event) {
         let changed = matches!(event, Event::LogRead { records, .. } if !records.is_empty());
-        if changed || now.since(self.viewed_at) >= VIEW_MS {
-            self.viewed_at = now;
+        if changed || now.since(self.published_at) >= VIEW_MS {
+            self.published_at = now;
             self.view_out.send_replace(Arc::new(View::new(&self.state)));
         }
     }
--- a/crates/hollywell/src/engine.rs
+++ b/crates/hollywell/src/engine.rs
@@ -1,5 +1,5 @@
-//! Talking to a model engine: completions as server-sent events in the usual
-//! OpenAI-compatible form, and orders to load weights.
+//! Client for model engines: completions as server-sent events in the
+//! OpenAI-compatible format, and orders to load weights.
 
 use std::time::Duration;
 
@@ -15,35 +15,35 @@
     traffic::registry::Prompt,
 };
 
-/// Longest time for an engine to answer an order.
+/// Timeout of an order.
 const ORDER_TIMEOUT: Duration = Duration::from_secs(2);
-/// Largest answer to an order, in bytes.
+/// Maximum size of the response to an order, in bytes.
 const MAX_ORDER_BYTES: usize = 64 << 10;
-/// Largest part of a stream without an end of event, in bytes.
+/// Maximum length of an incomplete line of a stream, in bytes.
 const MAX_EVENT_BYTES: usize = 1 << 20;
-/// Largest sample, in bytes.
+/// Maximum size of a sample, in bytes.
 const MAX_SAMPLE_BYTES: usize = 16 << 20;
 
-/// What an engine is asked, besides the prompt.
+/// Parameters of a completion besides the prompt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct GenerateRequest {
     /// The attempt.
     pub dispatch: Dispatch,
     /// The engine's address.
     pub address: String,
-    /// Place in the engine's queue; lower goes first.
+    /// Priority in the engine's queue; lower values go first.
     pub priority: u8,
-    /// Instant by which the sample must be whole.
+    /// Time by which the sample must be complete.
     pub deadline: Time,
 }
 
-/// A whole sample.
+/// A complete sample.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Sample {
     /// The text.
     pub text: String,
-    /// The weight versions that produced it, in order, without repeats next
-    /// to each other.
+    /// Weight versions that generated the sample, in order, without consecutive
+    /// duplicates.
     pub versions: Vec<u64>,
 }
 
@@ -60,13 +60,13 @@
     finish_reason: Option<String>,
 }
 
-/// Asks an engine for a sample and reads its whole stream.
+/// Requests a sample from an engine and reads the complete stream.
 ///
 /// # Errors
 ///
-/// [`End::Refused`] if the engine did not take the request, [`End::Broken`]
-/// if the stream ended early, could not be understood, or had a chunk with
-/// text that named no version.
+/// [`End::Refused`] if the engine did not accept the request; [`End::Broken`] if
+/// the stream ended early, was malformed, or had a chunk with text but without a
+/// version.
 pub async fn generate(
     client: &Client,
     generate: &GenerateRequest,
@@ -112,7 +112,7 @@
     Err(End::Broken)
 }
 
-/// Collects a completion's server-sent events (WHATWG HTML, section 9.2).
+/// Parser of a completion's server-sent events (WHATWG HTML, section 9.2).
 #[derive(Debug, Default)]
 pub struct Reader {
     pending: Vec<u8>,
@@ -122,11 +122,11 @@
 }
 
 impl Reader {
-    /// Takes the next part of the stream.
+    /// Parses the next part of the stream.
     ///
     /// # Errors
     ///
-    /// [`End::Broken`] if it cannot be understood or is too large.
+    /// [`End::Broken`] if the stream is malformed or too large.
     ///
     /// # Example
     ///
@@ -136,7 +136,7 @@
     /// let mut reader = Reader::default();
     /// let chunk = r#"{"choices":[{"text":"a"}],"weight_version":4}"#;
     /// reader.push(format!("data: {chunk}\n\nda").as_bytes())?;
-    /// // The stream broke off before its end was marked: not a sample.
+    /// // The stream ended before its end marker, so the sample is incomplete.
     /// assert_eq!(reader.finish(), Err(End::Broken));
     /// # Ok::<(), End>(())
     /// ```
@@ -145,7 +145,7 @@
         while let Some(end) = self.pending.iter().position(|byte| *byte == b'\n') {
             let line: Vec<u8> = self.pending.drain(..=end).collect();
             let line = std::str::from_utf8(&line).map_err(|_| End::Broken)?;
-            self.take_line(line.trim_end())?;
+            self.parse_line(line.trim_end())?;
         }
         match self.pending.len() > MAX_EVENT_BYTES {
             true => Err(End::Broken),
@@ -153,7 +153,7 @@
         }
     }
 
-    fn take_line(&mut self, line: &str) -> Result<(), End> {
+    fn parse_line(&mut self, line: &str) -> Result<(), End> {
         let Some(data) = line.strip_prefix("data:").map(str::trim) else {
             return Ok(());
         };
@@ -180,11 +180,11 @@
         }
     }
 
-    /// The whole sample.
+    /// Returns the complete sample.
     ///
     /// # Errors
     ///
-    /// [`End::Broken`] if the stream did not say that it is whole.
+    /// [`End::Broken`] if the stream has not marked its end.
     pub fn finish(self) -> Result<Sample, End> {
         match self.done && self.finished {
             true => Ok(self.sample),
@@ -193,16 +193,16 @@
     }
 }
 
-/// Gives an order to an engine and returns true if the engine took it.
+/// Sends an order to an engine and returns true if the engine accepted it.
 pub async fn order(client: &Client, address: &str, order: &Order) -> bool {
     let Ok(body) = serde_json::to_vec(order) else {
         return false;
     };
-    let answer = client.post(address, "/orders", body, MAX_ORDER_BYTES, ORDER_TIMEOUT).await;
-    match answer {
-        Ok(answer) if answer.status().is_success() => true,
-        Ok(answer) => {
-            log::info!("engine {address} refused an order: status {}", answer.status());
+    let sent = client.post(address, "/orders", body, MAX_ORDER_BYTES, ORDER_TIMEOUT).await;
+    match sent {
+        Ok(response) if response.status().is_success() => true,
+        Ok(response) => {
+            log::info!("engine {address} refused an order: status {}", response.status());
             false
         }
         Err(error) => {
--- a/crates/hollywell/src/entry/serve.rs
+++ b/crates/hollywell/src/entry/serve.rs
@@ -189,7 +189,7 @@
     spawn(Box::pin(answer_always(shared.clone(), ready, ingress::ready)));
     spawn(Box::pin(answer_always(shared.clone(), metrics, ingress::metrics)));
     spawn(Box::pin(ingress::serve(shared.clone(), front, open.clone())));
-    crate::serve::asked_to_stop().await?;
+    crate::serve::shutdown_signal().await?;
     stop(&shared, &open).await;
     Ok(())
 }
--- a/crates/hollywell/src/http.rs
+++ b/crates/hollywell/src/http.rs
@@ -1,9 +1,9 @@
-//! The HTTP client side that platform, targets and tools share.
+//! HTTP client for the platform, targets and command line tools.
 //!
-//! Every exchange uses a connection of its own. A pooled connection that the
-//! other side has just closed leaves it open whether the request was sent;
-//! with a fresh one, a failure to connect certainly sent nothing. The cost
-//! is one round trip an exchange.
+//! Every exchange uses a new connection. If a pooled connection turns out to be
+//! closed by the server, it is unknown whether the request was processed; if a
+//! new connection fails, the request was certainly not sent. The cost is one
+//! round trip per exchange.
 
 use std::{fmt, time::Duration};
 
@@ -15,19 +15,19 @@
     rt::TokioExecutor,
 };
 
-/// Longest time to wait for a connection.
+/// Timeout of connecting.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Why an exchange failed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Error {
-    /// No connection was made, so nothing was sent.
+    /// The connection failed, so nothing was sent.
     NotSent(String),
-    /// Something was or may have been sent, and no whole answer came.
+    /// The request may have been sent, but no complete response was received.
     Broken(String),
-    /// The answer is larger than the limit, in bytes.
+    /// The response exceeds the limit, in bytes.
     TooLarge(usize),
-    /// The time was up before a whole answer came.
+    /// No complete response was received within the timeout.
     TimedOut,
 }
 
@@ -36,8 +36,8 @@
         match self {
             Error::NotSent(cause) => write!(f, "no connection: {cause}"),
             Error::Broken(cause) => write!(f, "exchange broke: {cause}"),
-            Error::TooLarge(limit) => write!(f, "answer exceeds {limit} bytes"),
-            Error::TimedOut => f.write_str("no whole answer in time"),
+            Error::TooLarge(limit) => write!(f, "response exceeds {limit} bytes"),
+            Error::TimedOut => f.write_str("no complete response within the timeout"),
         }
     }
 }
@@ -57,7 +57,7 @@
 }
 
 impl Client {
-    /// A client. It must be used within a tokio runtime.
+    /// Creates a client. It must be used within a tokio runtime.
     #[must_use]
     pub fn new() -> Client {
         let mut connector = HttpConnector::new();
@@ -70,14 +70,14 @@
         Client { inner }
     }
 
-    /// Sends a request and returns the answer's head with its body unread.
+    /// Sends a request and returns the response with its body unread.
     ///
     /// # Errors
     ///
-    /// [`Error::NotSent`] if no connection was made, else [`Error::Broken`].
+    /// [`Error::NotSent`] if the connection failed, otherwise [`Error::Broken`].
     pub async fn open(&self, request: Request<Full<Bytes>>) -> Result<Response<Incoming>, Error> {
         self.inner.request(request).await.map_err(|error| {
-            let cause = chain(&error);
+            let cause = error_chain(&error);
             match error.is_connect() {
                 true => Error::NotSent(cause),
                 false => Error::Broken(cause),
@@ -85,12 +85,12 @@
         })
     }
 
-    /// Sends a request and reads the whole answer.
+    /// Sends a request and reads the complete response.
     ///
     /// # Errors
     ///
-    /// As [`Client::open`]; besides, [`Error::TooLarge`] if the answer has
-    /// more than `limit` bytes and [`Error::TimedOut`] after `timeout`.
+    /// Those of [`Client::open`], [`Error::TooLarge`] if the body has more than
+    /// `limit` bytes, and [`Error::TimedOut`] after `timeout`.
     pub async fn fetch(
         &self,
         request: Request<Full<Bytes>>,
@@ -99,8 +99,8 @@
     ) -> Result<Response<Bytes>, Error> {
         let exchange = async {
             let (head, body) = self.open(request).await?.into_parts();
-            let whole = Limited::new(body, limit).collect().await;
-            let bytes = whole.map_err(|error| match error.is::<LengthLimitError>() {
+            let collected = Limited::new(body, limit).collect().await;
+            let bytes = collected.map_err(|error| match error.is::<LengthLimitError>() {
                 true => Error::TooLarge(limit),
                 false => Error::Broken(error.to_string()),
             })?;
@@ -109,11 +109,11 @@
         tokio::time::timeout(timeout, exchange).await.unwrap_or(Err(Error::TimedOut))
     }
 
-    /// Reads `path` at `address`.
+    /// Sends a GET request for `path` to `address`.
     ///
     /// # Errors
     ///
-    /// As [`Client::fetch`].
+    /// Those of [`Client::fetch`].
     pub async fn get(
         &self,
         address: &str,
@@ -125,11 +125,11 @@
         self.fetch(request, limit, timeout).await
     }
 
-    /// Posts a JSON body to `path` at `address`.
+    /// Sends a POST request with a JSON body to `path` at `address`.
     ///
     /// # Errors
     ///
-    /// As [`Client::fetch`].
+    /// Those of [`Client::fetch`].
     pub async fn post(
         &self,
         address: &str,
@@ -144,22 +144,23 @@
     }
 }
 
-/// The URI of `path` at an address and port.
+/// Returns the URI of `path` at an address and port.
 #[must_use]
 pub fn uri(address: &str, path: &str) -> String {
     format!("http://{address}{path}")
 }
 
-/// Finishes a request.
+/// Builds a request with a body.
 ///
 /// # Errors
 ///
-/// [`Error::NotSent`] if the URI or a header cannot be sent.
+/// [`Error::NotSent`] if the URI or a header is invalid.
 pub fn build(builder: http::request::Builder, body: Bytes) -> Result<Request<Full<Bytes>>, Error> {
     builder.body(Full::new(body)).map_err(|error| Error::NotSent(error.to_string()))
 }
 
-fn chain(error: &dyn std::error::Error) -> String {
+/// Joins the messages of an error and its sources.
+fn error_chain(error: &dyn std::error::Error) -> String {
     let mut text = error.to_string();
     let mut source = error.source();
     while let Some(cause) = source {
--- a/crates/hollywell/src/logs.rs
+++ b/crates/hollywell/src/logs.rs
@@ -1,5 +1,5 @@
-//! Logging through log4rs: to standard error for a single instance by hand,
-//! to standard output, bounded, on a platform.
+//! Logging through log4rs: to standard error for an instance that is run by hand,
+//! and rate-limited to standard output on a platform.
 
 use std::{
     collections::HashMap,
@@ -30,7 +30,7 @@
 ///
 /// # Errors
 ///
-/// If logging was started before, or the configuration is refused.
+/// If logging was started before or the configuration is invalid.
 pub fn start(logs: &Logs) -> Result<(), Box<dyn std::error::Error>> {
     let encoder: Box<dyn Encode> = match logs.format {
         LogFormat::Json => Box::new(JsonEncoder::new()),
@@ -44,39 +44,39 @@
     Ok(())
 }
 
-/// Lines that may wait for standard output to take them. Whoever logs never
-/// waits: a line that finds no room is counted and left out.
-const WAITING_LINES: usize = 2_048;
-/// Lines of one place in the code that are written in a second. More are
-/// counted and left out; what repeats that often says nothing new.
-const LINES_A_SECOND: u32 = 50;
+/// Capacity of the queue to standard output, in lines. Logging never blocks: lines
+/// that find the queue full are counted and dropped.
+const QUEUE_LINES: usize = 2_048;
+/// Maximum lines per second from one source location. Further lines are counted
+/// and dropped, since so frequent a message carries no new information.
+const MAX_LINES_PER_SECOND: u32 = 50;
 
-/// Starts logging as JSON lines to standard output, bounded in rate and in
-/// what waits, so that logging never holds up whoever logs.
+/// Starts logging as JSON lines to standard output. Rate and queue are bounded, so
+/// that logging never blocks its callers.
 ///
 /// # Errors
 ///
-/// If logging was started before, the configuration is refused or the
-/// writer's thread cannot be started.
+/// If logging was started before, the configuration is invalid, or the writer
+/// thread cannot be started.
 pub fn start_stdout(level: log::LevelFilter) -> Result<(), Box<dyn std::error::Error>> {
-    let (lines, waiting) = mpsc::sync_channel::<Vec<u8>>(WAITING_LINES);
-    thread::Builder::new().name(String::from("logs")).spawn(move || write_out(&waiting))?;
-    let bounded = Bounded { lines, rates: Mutex::default(), left_out: AtomicU64::new(0) };
+    let (lines, queue) = mpsc::sync_channel::<Vec<u8>>(QUEUE_LINES);
+    thread::Builder::new().name(String::from("logs")).spawn(move || write_out(&queue))?;
+    let bounded = BoundedAppender { lines, rates: Mutex::default(), left_out: AtomicU64::new(0) };
     let appender = Appender::builder().build("stdout", Box::new(bounded));
     let root = Root::builder().appender("stdout").build(level);
     log4rs::init_config(Config::builder().appender(appender).build(root)?)?;
     Ok(())
 }
 
-fn write_out(waiting: &mpsc::Receiver<Vec<u8>>) {
+fn write_out(queue: &mpsc::Receiver<Vec<u8>>) {
     let mut out = std::io::stdout();
-    for line in waiting {
-        // Nobody is left to tell if standard output is gone.
-        let _gone = out.write_all(&line);
+    for line in queue {
+        // A closed standard output cannot be reported anywhere.
+        let _closed = out.write_all(&line);
     }
 }
 
-/// Lines of one place in the code within one second.
+/// Lines logged from one source location within one second.
 #[derive(Debug, Default)]
 struct Rate {
     second: u64,
@@ -84,30 +84,31 @@
     left_out: u64,
 }
 
-/// Hands lines to the writer's thread, or leaves them out.
+/// Appender that queues lines for the writer thread or drops them.
 #[derive(Debug)]
-struct Bounded {
+struct BoundedAppender {
     lines: mpsc::SyncSender<Vec<u8>>,
     rates: Mutex<HashMap<(&'static str, u32), Rate>>,
     left_out: AtomicU64,
 }
 
-impl Bounded {
-    /// Whether a line of this place may be written now, and how many were
-    /// left out before it.
+impl BoundedAppender {
+    /// Returns `None` if the line exceeds the rate of its source location, otherwise
+    /// the number of lines dropped from there since the last one written.
     fn admit(&self, record: &log::Record<'_>) -> Option<u64> {
-        let place = (record.file_static().unwrap_or_default(), record.line().unwrap_or_default());
+        let location =
+            (record.file_static().unwrap_or_default(), record.line().unwrap_or_default());
         let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs();
-        // A thread that panicked while it held the lock left counters, which
-        // are as good as before.
+        // A thread that panicked while holding the lock leaves only counters, which
+        // are still valid.
         let mut rates = self.rates.lock().unwrap_or_else(PoisonError::into_inner);
-        let rate = rates.entry(place).or_default();
+        let rate = rates.entry(location).or_default();
         if rate.second != now {
             rate.second = now;
             rate.lines = 0;
         }
         rate.lines += 1;
-        if rate.lines > LINES_A_SECOND {
+        if rate.lines > MAX_LINES_PER_SECOND {
             rate.left_out += 1;
             return None;
         }
@@ -115,7 +116,7 @@
     }
 }
 
-impl Append for Bounded {
+impl Append for BoundedAppender {
     fn append(&self, record: &log::Record<'_>) -> anyhow::Result<()> {
         let Some(left_out) = self.admit(record) else {
             return Ok(());
@@ -131,7 +132,8 @@
     fn flush(&self) {}
 }
 
-/// One line. The platform stamps the time; the place tells decisions apart.
+/// Encodes a line. The platform adds the time. Module and line number distinguish
+/// messages with the same text.
 fn line(record: &log::Record<'_>, left_out: u64) -> Vec<u8> {
     let text = record.args().to_string();
     let line = Line {
@@ -152,7 +154,7 @@
     module: &'a str,
     line: Option<u32>,
     message: &'a str,
-    /// Lines of this kind that were not written since the last one.
+    /// Number of lines dropped since the last one written.
     #[serde(skip_serializing_if = "Option::is_none")]
     left_out: Option<u64>,
 }
--- a/crates/hollywell/src/metrics.rs
+++ b/crates/hollywell/src/metrics.rs
@@ -1,7 +1,7 @@
-//! What is counted and timed, in the Prometheus exposition format.
+//! Metrics in the Prometheus exposition format.
 //!
-//! The names are documented in `docs/INTERFACES.md`. Everything here is
-//! cheap to clone and shared by all threads.
+//! Their names are documented in `docs/INTERFACES.md`. Clones are cheap and share
+//! their state between threads.
 
 use std::time::Duration;
 
@@ -15,10 +15,10 @@
     view::View,
 };
 
-/// Bounds of the answer times, in seconds.
+/// Histogram buckets of response times, in seconds.
 const ANSWER_SECONDS: [f64; 12] =
     [0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0, 30.0];
-/// Bounds of the reducer's step times, in seconds.
+/// Histogram buckets of the reducer's step times, in seconds.
 const STEP_SECONDS: [f64; 9] = [1e-6, 2e-6, 5e-6, 1e-5, 2e-5, 5e-5, 1e-4, 1e-3, 1e-2];
 
 /// All metrics of one instance.
@@ -42,7 +42,7 @@
     ///
     /// # Errors
     ///
-    /// If two metrics have one name, which a test would show.
+    /// If two metrics have the same name.
     pub fn new() -> prometheus::Result<Metrics> {
         let registry = Registry::new();
         let counter = |name: &str, help: &str, label: &str| {
@@ -86,21 +86,22 @@
         })
     }
 
-    /// Counts a target's answer that was passed on.
-    pub fn answered(&self, took: Duration) {
+    /// Records a target's response that was passed on.
+    pub fn answered(&self, elapsed: Duration) {
         self.answers.with_label_values(&["target"]).inc();
-        self.answer_seconds.with_label_values(&["target"]).observe(took.as_secs_f64());
+        self.answer_seconds.with_label_values(&["target"]).observe(elapsed.as_secs_f64());
     }
 
-    /// Counts a refusal.
-    pub fn refused(&self, kind: Kind, took: Duration) {
+    /// Records a refusal.
+    pub fn refused(&self, kind: Kind, elapsed: Duration) {
         let outcome = kind.answer().outcome.as_str();
         self.answers.with_label_values(&[outcome]).inc();
-        self.answer_seconds.with_label_values(&[outcome]).observe(took.as_secs_f64());
+        self.answer_seconds.with_label_values(&[outcome]).observe(elapsed.as_secs_f64());
         self.refusals.with_label_values(&[kind.as_str()]).inc();
     }
 
-    /// Counts the end of a step: on time if nothing is missing.
+    /// Records the end of a trainer's step, which is on time if no sample is
+    /// missing.
     pub fn step_ended(&self, missing: usize, reason: Option<Kind>) {
         let result = match (missing, reason) {
             (0, _) => "whole",
@@ -111,21 +112,21 @@
         self.steps.with_label_values(&[result]).inc();
     }
 
-    /// Times one step of the reducer.
-    pub fn step(&self, event: &Event, took: Duration) {
-        self.step_seconds.with_label_values(&[event_name(event)]).observe(took.as_secs_f64());
+    /// Records the duration of one reducer step.
+    pub fn step(&self, event: &Event, elapsed: Duration) {
+        self.step_seconds.with_label_values(&[event_name(event)]).observe(elapsed.as_secs_f64());
     }
 
-    /// Counts what callers cannot see.
+    /// Counts an occurrence that callers cannot observe.
     pub fn count(&self, counted: Counted) {
         self.events.with_label_values(&[counted_name(counted)]).inc();
     }
 
-    /// The metrics as text, with the gauges set from `view`.
+    /// Encodes the metrics as text, with gauges set from `view`.
     ///
     /// # Errors
     ///
-    /// If a metric cannot be written as text.
+    /// If a metric cannot be encoded.
     pub fn render(&self, view: &View) -> prometheus::Result<Vec<u8>> {
         let gauge = |gauge: &IntGauge, value: u64| {
             gauge.set(i64::try_from(value).unwrap_or(i64::MAX));
@@ -140,7 +141,7 @@
     }
 }
 
-/// An event's name in metrics and benches.
+/// Returns the name of an event in metrics and benchmarks.
 #[must_use]
 pub const fn event_name(event: &Event) -> &'static str {
     match event {
--- a/crates/hollywell/src/peer/mod.rs
+++ b/crates/hollywell/src/peer/mod.rs
@@ -1,8 +1,8 @@
-//! The instances' talk to each other, over gRPC.
+//! gRPC transport between instances.
 //!
-//! Control messages are fire-and-forget: whatever must not be lost is
-//! repeated by the reducer. It leaves out what the messages mean
-//! ([`crate::core::event::Message`]).
+//! Control messages are sent without acknowledgement; the reducer repeats those
+//! that must not be lost. Their meaning is documented at
+//! [`crate::core::event::Message`].
 
 use std::{
     collections::HashMap,
@@ -22,7 +22,7 @@
     traffic::registry::{BufferedRequest, BufferedResponse},
 };
 
-// As the generator wrote it, so that CI can tell whether it is current.
+// Kept exactly as generated, so that CI can check that it is up to date.
 #[rustfmt::skip]
 #[allow(missing_docs, unreachable_pub, clippy::all)]
 mod generated;
@@ -30,19 +30,19 @@
 
 use generated::{ForwardRequest, Header, Packet, peer_client::PeerClient};
 
-/// Longest time for a control message.
+/// Timeout of a control message.
 const EXCHANGE_TIMEOUT: Duration = Duration::from_secs(1);
-/// Longest time to wait for a connection to a peer.
+/// Timeout of connecting to a peer.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Sends to peers, over one connection each.
+/// Client for peers, with one connection to each.
 #[derive(Clone, Debug, Default)]
 pub struct Client {
     channels: Arc<Mutex<HashMap<String, Channel>>>,
 }
 
 impl Client {
-    /// A client without connections. It must be used within a tokio runtime.
+    /// Creates a client without connections. It must be used within a tokio runtime.
     #[must_use]
     pub fn new() -> Client {
         Client::default()
@@ -59,7 +59,7 @@
         Some(channel)
     }
 
-    /// Hands a control message over; it may be lost.
+    /// Sends a control message, which may be lost.
     pub async fn send(&self, from: &Instance, address: &str, message: &Message) {
         let Some(channel) = self.channel(address) else {
             return;
@@ -75,32 +75,33 @@
         }
     }
 
-    /// Sends a call to the owner of its key and returns what the owner said,
-    /// with the target's answer if there is one.
+    /// Forwards a call to the owner of its key and returns the owner's result, with
+    /// the target's response if there is one.
     ///
-    /// `None` if no whole answer came: the owner may have got the call.
+    /// Returns `None` without a complete reply; the owner may still have received
+    /// the call.
     pub async fn forward(
         &self,
         address: &str,
         forward: &Forward,
-        sent: &BufferedRequest,
+        buffered: &BufferedRequest,
         timeout: Duration,
     ) -> Option<(ForwardResult, Option<BufferedResponse>)> {
         let request = ForwardRequest {
             name: forward.owner.name.clone(),
             incarnation: forward.owner.incarnation,
             forward: serde_json::to_vec(forward).ok()?,
-            method: sent.method.to_string(),
-            path: sent.path.clone(),
-            headers: to_wire(&sent.headers),
-            body: sent.body.to_vec(),
+            method: buffered.method.to_string(),
+            path: buffered.path.clone(),
+            headers: to_wire(&buffered.headers),
+            body: buffered.body.to_vec(),
         };
         let channel = self.channel(address)?;
         let mut client = PeerClient::new(channel).max_decoding_message_size(usize::MAX);
         let exchange = tokio::time::timeout(timeout, client.forward(request)).await;
         let reply = exchange.ok()?.ok()?.into_inner();
         let result: ForwardResult = serde_json::from_slice(&reply.result).ok()?;
-        let answer = match result.refused {
+        let response = match result.refused {
             Some(_) => None,
             None => Some(BufferedResponse {
                 status: u16::try_from(reply.status).ok()?,
@@ -108,7 +109,7 @@
                 body: Bytes::from(reply.body),
             }),
         };
-        Some((result, answer))
+        Some((result, response))
     }
 }
 
--- a/crates/hollywell/src/peer/server.rs
+++ b/crates/hollywell/src/peer/server.rs
@@ -1,4 +1,4 @@
-//! The receiving side of the instances' talk.
+//! gRPC server for other instances.
 
 use std::{future::Future, net::SocketAddr};
 
@@ -30,7 +30,7 @@
     registry: Registry,
 }
 
-/// Serves peers until `stop` completes and the calls in flight are answered.
+/// Serves peers until `stop` completes and all calls in flight are answered.
 ///
 /// # Errors
 ///
--- a/crates/hollywell/src/platform.rs
+++ b/crates/hollywell/src/platform.rs
@@ -1,8 +1,9 @@
-//! The platform's log, list and weight store, as documented in
-//! `docs/INTERFACES.md`, and the load that engines report.
+//! Client of the platform's log, instance list and weight store, as documented in
+//! `docs/INTERFACES.md`, and of the engines' load reports.
 //!
-//! Each is read in a loop of its own, which turns what it read into events.
-//! A reading that fails is tried again after a pause; nothing here decides.
+//! Each source is polled in a separate loop, which turns responses into events. A
+//! failed read of the log is retried after `RETRY_DELAY`, other reads with the
+//! next poll. No decisions are made here.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -22,16 +23,17 @@
     settings::Platform,
 };
 
-/// The stream that hollywell keeps on the log.
+/// Name of hollywell's stream on the log.
 pub const STREAM: &str = "hollywell";
 
-/// Longest time for one exchange with the platform, besides a poll's wait.
+/// Timeout of an exchange with the platform, in addition to the wait of a long
+/// poll.
 const EXCHANGE_TIMEOUT: Duration = Duration::from_secs(2);
-/// Pause after a failed reading.
+/// Delay before a failed read of the log is retried.
 const RETRY_DELAY: Duration = Duration::from_millis(200);
-/// Largest answer of the platform, in bytes.
+/// Maximum size of a response of the platform, in bytes.
 const MAX_RESPONSE_BYTES: usize = 64 << 20;
-/// Records asked for at once.
+/// Maximum number of records per read.
 const PAGE_RECORDS: usize = 1_000;
 
 #[derive(Debug, Deserialize)]
@@ -57,7 +59,7 @@
     latest: u64,
 }
 
-/// Reads the log from its oldest record on, for as long as the process runs.
+/// Follows the log from its oldest record for as long as the process runs.
 pub async fn follow_log(platform: Platform, control: Handle, clock: Clock) {
     let client = Client::new();
     let mut from = 0;
@@ -69,7 +71,7 @@
                 control.send(page.into_event(sent, from)).await;
             }
             Err(error) => {
-                log::debug!("log not read: {error}");
+                log::debug!("cannot read the log: {error}");
                 sleep(RETRY_DELAY).await;
             }
         }
@@ -82,14 +84,15 @@
         after_last.unwrap_or_else(|| from.max(self.first))
     }
 
-    /// Records that cannot be read are left out of the event, and so leave a
-    /// gap: a record of a later version must not be skipped over silently.
+    /// Converts the page into an event. Records that cannot be decoded are left
+    /// out, which leaves a gap in the offsets: records of a later version must not
+    /// be skipped silently.
     fn into_event(self, sent: Time, from: u64) -> Event {
         let at_end = from >= self.next;
         let parse = |record: LogRecord| match serde_json::from_value::<Record>(record.data) {
             Ok(data) => Some((record.offset, data)),
             Err(error) => {
-                log::error!("log record {} cannot be read: {error}", record.offset);
+                log::error!("cannot decode log record {}: {error}", record.offset);
                 None
             }
         };
@@ -112,40 +115,41 @@
     path: &str,
     timeout: Duration,
 ) -> Result<T, Error> {
-    let answer = client.get(&address.to_string(), path, MAX_RESPONSE_BYTES, timeout).await?;
-    if !answer.status().is_success() {
-        return Err(Error::Broken(format!("status {}", answer.status())));
+    let response = client.get(&address.to_string(), path, MAX_RESPONSE_BYTES, timeout).await?;
+    if !response.status().is_success() {
+        return Err(Error::Broken(format!("status {}", response.status())));
     }
-    serde_json::from_slice(answer.body()).map_err(|error| Error::Broken(error.to_string()))
+    serde_json::from_slice(response.body()).map_err(|error| Error::Broken(error.to_string()))
 }
 
-/// Appends a record; it may be lost, and may be appended though this fails.
+/// Appends a record. The record may be lost, and it may be appended although the
+/// call fails.
 pub async fn append(client: &Client, platform: &Platform, record: &Record) {
     let body = serde_json::json!({ "records": [record] }).to_string().into_bytes();
     let path = format!("/streams/{STREAM}/records");
     let address = platform.log.to_string();
     let sent = client.post(&address, &path, body, MAX_RESPONSE_BYTES, EXCHANGE_TIMEOUT).await;
     match sent {
-        Ok(answer) if answer.status().is_success() => {}
-        Ok(answer) => log::debug!("append refused: status {}", answer.status()),
+        Ok(response) if response.status().is_success() => {}
+        Ok(response) => log::debug!("append refused: status {}", response.status()),
         Err(error) => log::debug!("append failed: {error}"),
     }
 }
 
-/// Reads the list of instances and targets, for as long as the process runs.
+/// Polls the list of instances and targets for as long as the process runs.
 pub async fn follow_list(platform: Platform, control: Handle) {
     let client = Client::new();
     loop {
         match get::<ListPage>(&client, platform.list, "/list", EXCHANGE_TIMEOUT).await {
             Ok(page) => control.send(Event::Listed(page.entries)).await,
-            Err(error) => log::debug!("list not read: {error}"),
+            Err(error) => log::debug!("cannot read the instance list: {error}"),
         }
         sleep(Duration::from_millis(platform.list_ms)).await;
     }
 }
 
-/// Reads the newest version of each trainer in the table, for as long as the
-/// process runs.
+/// Polls the newest version of each trainer in the table for as long as the process
+/// runs.
 pub async fn follow_versions(platform: Platform, control: Handle) {
     let client = Client::new();
     loop {
@@ -162,7 +166,7 @@
     }
 }
 
-/// Reads the engines' load, for as long as the process runs.
+/// Polls the load of all engines for as long as the process runs.
 pub async fn follow_load(platform: Platform, control: Handle) {
     let client = Client::new();
     loop {
@@ -181,6 +185,6 @@
 }
 
 async fn read_load(client: &Client, address: &str) -> Result<Load, Error> {
-    let answer = client.get(address, "/load", MAX_RESPONSE_BYTES, EXCHANGE_TIMEOUT).await?;
-    serde_json::from_slice(answer.body()).map_err(|error| Error::Broken(error.to_string()))
+    let response = client.get(address, "/load", MAX_RESPONSE_BYTES, EXCHANGE_TIMEOUT).await?;
+    serde_json::from_slice(response.body()).map_err(|error| Error::Broken(error.to_string()))
 }
--- a/crates/hollywell/src/serve.rs
+++ b/crates/hollywell/src/serve.rs
@@ -1,4 +1,4 @@
-//! One entry instance, from its settings to its end.
+//! Runs an entry instance.
 
 use tokio::{
     net::TcpListener,
@@ -17,11 +17,10 @@
     watchdog::Watchdog,
 };
 
-/// Runs an instance until it is asked to stop and has handed everything
-/// over.
+/// Runs an instance until SIGTERM or SIGINT and the end of its graceful shutdown.
 ///
-/// SIGTERM and SIGINT ask it to stop. Requests in flight are answered first,
-/// whatever that takes within their own deadlines.
+/// On shutdown the instance hands over its duties and answers requests in flight
+/// first, which may take as long as their deadlines allow.
 ///
 /// # Errors
 ///
@@ -86,7 +85,7 @@
     };
     let callers = tokio::spawn(server.serve(listener, stopping));
 
-    asked_to_stop().await?;
+    shutdown_signal().await?;
     log::info!("stopping");
     control.send(Event::Drain).await;
     executor.exited().await;
@@ -102,13 +101,13 @@
     ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
         ticks.tick().await;
-        // A tick that finds the queue full is made up for by the next one.
+        // If the queue is full, the next tick does the work of this one.
         let _full = control.try_send(Event::Tick);
     }
 }
 
 /// Waits for SIGTERM or SIGINT.
-pub(crate) async fn asked_to_stop() -> std::io::Result<()> {
+pub(crate) async fn shutdown_signal() -> std::io::Result<()> {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
     tokio::select! {
--- a/crates/hollywell/src/service.rs
+++ b/crates/hollywell/src/service.rs
@@ -1,5 +1,5 @@
-//! Sending a request to a plain service, and telling from what comes back
-//! whether it ran.
+//! Client for plain services, which determines from the response whether a request
+//! was executed.
 
 use std::time::Duration;
 
@@ -11,13 +11,12 @@
     traffic::registry::{BufferedRequest, BufferedResponse},
 };
 
-/// Header by which a target says that it did not run a request.
+/// Response header by which a target states that it did not execute the request.
 pub const NOT_RUN: &str = "x-not-run";
-/// Header by which a target says that it is leaving.
+/// Response header by which a target announces that it is shutting down.
 pub const LEAVING: &str = "x-leaving";
 
-/// Headers that belong to one connection (RFC 9110, section 7.6.1) and are
-/// not passed on.
+/// Hop-by-hop headers (RFC 9110, section 7.6.1), which are not forwarded.
 const HOP_BY_HOP: [&str; 9] = [
     "connection",
     "content-length",
@@ -30,21 +29,21 @@
     "upgrade",
 ];
 
-/// How an attempt ended.
+/// Result of one attempt.
 #[derive(Debug)]
 pub struct AttemptResult {
-    /// What is known of it.
+    /// How the attempt ended.
     pub end: End,
-    /// The target's whole answer, if there is one to pass on.
+    /// The target's complete response, if there is one to pass on.
     pub response: Option<BufferedResponse>,
-    /// True if the target said that it is leaving.
+    /// True if the target announced that it is shutting down.
     pub leaving: bool,
 }
 
-/// Sends a request to the target at `address` and reads the whole answer.
+/// Sends a request to the target at `address` and reads the complete response.
 ///
-/// An answer counts only if it came whole and within the limit: a part of
-/// one is [`End::Broken`], because the target may have run the request.
+/// A response that is truncated or exceeds the limit results in [`End::Broken`],
+/// because the target may have executed the request.
 pub async fn send(
     client: &Client,
     address: &str,
@@ -84,9 +83,9 @@
     AttemptResult { end: End::Answered, response: Some(response), leaving }
 }
 
-/// The headers that are passed on.
+/// Returns the headers that are forwarded.
 #[must_use]
 pub fn end_to_end(headers: &http::HeaderMap) -> http::HeaderMap {
-    let kept = headers.iter().filter(|(name, _)| !HOP_BY_HOP.contains(&name.as_str()));
-    kept.map(|(name, value)| (name.clone(), value.clone())).collect()
+    let forwarded = headers.iter().filter(|(name, _)| !HOP_BY_HOP.contains(&name.as_str()));
+    forwarded.map(|(name, value)| (name.clone(), value.clone())).collect()
 }
--- a/crates/hollywell/src/settings.rs
+++ b/crates/hollywell/src/settings.rs
@@ -1,9 +1,9 @@
-//! Settings: an INI file, checked and turned into typed values.
+//! Settings: an INI file that is validated and converted to typed values.
 //!
-//! Every fault is reported, not just the first, each with file, line,
-//! section, key, value and what is allowed. Unknown sections and keys are
-//! faults: a misspelt limit must not silently keep its default. The keys are
-//! documented in `docs/operators/settings.md`.
+//! All faults are reported, not just the first, each with file, line, section, key,
+//! value and allowed values. Unknown sections and keys are faults, because a
+//! misspelt limit must not silently keep its default. The keys are documented in
+//! `docs/operators/settings.md`.
 
 use std::{
     collections::BTreeSet,
@@ -18,47 +18,47 @@
 
 use crate::core::{id::Instance, owner, reducer::Config};
 
-/// How log lines are written.
+/// Format of log lines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LogFormat {
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
-    /// By a log4rs pattern, for people.
+    /// Human-readable text by a log4rs pattern.
     Text,
 }
 
-/// Settings of logging.
+/// Logging settings.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Logs {
     /// Least severe level that is written.
     pub level: log::LevelFilter,
-    /// How lines are written.
+    /// Format of lines.
     pub format: LogFormat,
-    /// The log4rs pattern of text lines.
+    /// The log4rs pattern for text lines.
     pub pattern: String,
 }
 
-/// Sizes and times that bound what one caller can take up.
+/// Limits on the resources of one caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Room in each queue between traffic and control.
+    /// Capacity of each queue between traffic and control.
     pub queue: usize,
-    /// Largest body of a request or an answer, in bytes.
+    /// Maximum size of the body of a request or response, in bytes.
     pub body_bytes: usize,
-    /// Targets' answers kept for keys that are sent again, in bytes.
+    /// Total size of targets' responses that are retained for repeated idempotency
+    /// keys, in bytes.
     pub answer_bytes: usize,
-    /// Largest head of a request, in bytes.
+    /// Maximum size of a request's headers, in bytes.
     pub header_bytes: usize,
-    /// How long a caller may take to send a request's head or body, in
-    /// milliseconds.
+    /// Timeout of receiving a request's headers or its body, in milliseconds.
     pub receive_ms: u64,
-    /// How long a caller waits that does not say, in milliseconds.
+    /// Timeout of a call that names none, in milliseconds.
     pub timeout_ms: u64,
-    /// Longest time that a caller may ask to wait, in milliseconds.
+    /// Maximum timeout that a caller may request, in milliseconds.
     pub max_timeout_ms: u64,
 }
 
-/// Where the platform is, and how often it is asked.
+/// Addresses of the platform, and polling intervals.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Platform {
     /// Address of the append-only log.
@@ -67,13 +67,12 @@
     pub list: SocketAddr,
     /// Address of the weight store.
     pub weights: SocketAddr,
-    /// Time between readings of the list and of the newest versions, in
+    /// Interval at which the list and the newest versions are polled, in
     /// milliseconds.
     pub list_ms: u64,
-    /// Time between readings of the engines' load, in milliseconds.
+    /// Interval at which the engines' load is polled, in milliseconds.
     pub load_ms: u64,
-    /// How long a reading of the log's end waits for a record, in
-    /// milliseconds.
+    /// How long a read at the end of the log waits for a record, in milliseconds.
     pub poll_ms: u64,
 }
 
@@ -86,11 +85,11 @@
     pub peer_listen: SocketAddr,
     /// The reducer's configuration.
     pub config: Config,
-    /// Where the platform is.
+    /// Addresses of the platform.
     pub platform: Platform,
-    /// What one caller can take up.
+    /// Limits on the resources of one caller.
     pub limits: Limits,
-    /// Logging.
+    /// Logging settings.
     pub logs: Logs,
     /// File to record events to, if any.
     pub trace: Option<PathBuf>,
@@ -101,15 +100,15 @@
 pub struct Fault {
     /// The file.
     pub file: PathBuf,
-    /// The line, 0 if the key is missing.
+    /// The line of the key, or of its section if the key is missing; 0 if both are.
     pub line: usize,
     /// The section.
     pub section: String,
-    /// The key; empty where the section or the file is at fault.
+    /// The key; empty if the fault is in the section or the file.
     pub key: String,
-    /// The value found; empty if there is none.
+    /// The value; empty if there is none.
     pub value: String,
-    /// What is allowed.
+    /// Description of the allowed values.
     pub allowed: String,
 }
 
@@ -124,7 +123,7 @@
 impl std::error::Error for Fault {}
 
 impl Settings {
-    /// Reads and checks a settings file.
+    /// Reads and validates a settings file.
     ///
     /// # Errors
     ///
@@ -133,7 +132,7 @@
         Settings::parse(path, &read(path)?)
     }
 
-    /// Checks the text of a settings file; `path` is only named in faults.
+    /// Validates the text of a settings file. `path` is only used in faults.
     ///
     /// # Errors
     ///
@@ -146,7 +145,7 @@
     ///
     /// let text = "[instance]\nname = a\nlisten = 127.0.0.1:80\nqueue = 3\n";
     /// let faults = Settings::parse("a.ini".as_ref(), text).unwrap_err();
-    /// // A key in the wrong section is a fault like a misspelt one.
+    /// // A key in the wrong section is a fault, like a misspelt key.
     /// let unknown = faults.iter().find(|fault| fault.key == "queue").unwrap();
     /// assert_eq!(unknown.line, 4);
     /// ```
@@ -155,11 +154,11 @@
     }
 }
 
-/// What `read` makes of a settings file's text.
+/// Converts the text of a settings file by `read`.
 ///
 /// # Errors
 ///
-/// Every [`Fault`] that it found, and the keys that it did not read.
+/// Every [`Fault`] found by `read`, and one for each key that it did not read.
 pub(crate) fn checked<T>(
     path: &Path,
     text: &str,
@@ -174,11 +173,11 @@
     }
 }
 
-/// The text of a settings file.
+/// Reads the text of a settings file.
 ///
 /// # Errors
 ///
-/// One [`Fault`] of the whole file.
+/// A [`Fault`] if the file cannot be read.
 pub(crate) fn read(path: &Path) -> Result<String, Vec<Fault>> {
     fs::read_to_string(path).map_err(|error| {
         let (line, section, key, value) = Default::default();
@@ -208,26 +207,26 @@
     }
 }
 
-/// Time since the epoch in milliseconds: larger for every later run on a
-/// machine whose clock is roughly right.
+/// Returns the Unix time in milliseconds, which increases with each start if the
+/// machine's clock is roughly right.
 fn incarnation() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     u64::try_from(since.as_millis()).unwrap_or(u64::MAX)
 }
 
-/// Longest time that any setting may name, in milliseconds: a day.
+/// Maximum of all times in the settings, in milliseconds: one day.
 const MAX_MS: u64 = 86_400_000;
 
 fn read_times(reader: &mut Reader<'_>, config: &mut Config) {
-    let usual = owner::Config::default();
-    let own = "ownership";
+    let defaults = owner::Config::default();
+    let ownership = "ownership";
     config.ownership = owner::Config {
-        lease_ms: reader.number(own, "lease_ms", usual.lease_ms, 300..=60_000),
-        guard_ms: reader.number(own, "guard_ms", usual.guard_ms, 10..=60_000),
-        log_away_ms: reader.number(own, "log_away_ms", usual.log_away_ms, 1_000..=MAX_MS),
-        horizon_ms: reader.number(own, "horizon_ms", usual.horizon_ms, 1_000..=MAX_MS),
+        lease_ms: reader.number(ownership, "lease_ms", defaults.lease_ms, 300..=60_000),
+        guard_ms: reader.number(ownership, "guard_ms", defaults.guard_ms, 10..=60_000),
+        log_away_ms: reader.number(ownership, "log_away_ms", defaults.log_away_ms, 1_000..=MAX_MS),
+        horizon_ms: reader.number(ownership, "horizon_ms", defaults.horizon_ms, 1_000..=MAX_MS),
     };
-    config.deputy_ms = reader.number(own, "deputy_ms", config.deputy_ms, 10..=60_000);
+    config.deputy_ms = reader.number(ownership, "deputy_ms", config.deputy_ms, 10..=60_000);
     let members = "membership";
     config.beat_ms = reader.number(members, "beat_ms", config.beat_ms, 50..=10_000);
     config.remote_beat_ms =
@@ -288,19 +287,19 @@
     }
 }
 
-/// Reads values and collects faults and the names of the keys in use.
+/// Reads values, and collects faults and the names of known keys.
 pub(crate) struct Reader<'a> {
     path: &'a Path,
     text: &'a str,
     ini: Ini,
-    used: BTreeSet<(&'static str, &'static str)>,
+    known: BTreeSet<(&'static str, &'static str)>,
     pub(crate) faults: Vec<Fault>,
 }
 
 impl<'a> Reader<'a> {
     pub(crate) fn new(path: &'a Path, text: &'a str) -> Result<Reader<'a>, Vec<Fault>> {
         match Ini::load_from_str(text) {
-            Ok(ini) => Ok(Reader { path, text, ini, used: BTreeSet::new(), faults: vec![] }),
+            Ok(ini) => Ok(Reader { path, text, ini, known: BTreeSet::new(), faults: vec![] }),
             Err(error) => Err(vec![Fault {
                 file: path.to_owned(),
                 line: error.line,
@@ -312,8 +311,8 @@
         }
     }
 
-    /// The line of a key, or of its section where the key is missing. The
-    /// INI library keeps no line numbers.
+    /// Returns the line of a key, or of its section if the key is missing. The INI
+    /// library does not provide line numbers.
     fn line_of(&self, section: &str, key: &str) -> usize {
         let mut current = String::new();
         let mut section_line = 0;
@@ -346,7 +345,7 @@
     }
 
     pub(crate) fn optional(&mut self, section: &'static str, key: &'static str) -> Option<String> {
-        self.used.insert((section, key));
+        self.known.insert((section, key));
         let value = self.ini.get_from(Some(section), key)?;
         Some(value.trim().to_owned()).filter(|value| !value.is_empty())
     }
@@ -368,16 +367,16 @@
         &mut self,
         section: &'static str,
         key: &'static str,
-        must_have: &str,
+        required: &str,
     ) -> Vec<String> {
         let Some(value) = self.optional(section, key) else {
-            return vec![must_have.to_owned()];
+            return vec![required.to_owned()];
         };
         let mut names: Vec<String> = value.split(',').map(|name| name.trim().to_owned()).collect();
         names.sort();
         names.dedup();
-        if !names.iter().any(|name| name == must_have) {
-            let allowed = format!("names with commas between them, {must_have:?} among them");
+        if !names.iter().any(|name| name == required) {
+            let allowed = format!("comma-separated names that include {required:?}");
             self.fault(section, key, &value, &allowed);
         }
         names
@@ -386,7 +385,7 @@
     pub(crate) fn address(&mut self, section: &'static str, key: &'static str) -> SocketAddr {
         let value = self.optional(section, key).unwrap_or_default();
         value.parse().unwrap_or_else(|_| {
-            self.fault(section, key, &value, "an IP number and a port, as 127.0.0.1:8080");
+            self.fault(section, key, &value, "an IP address and a port, such as 127.0.0.1:8080");
             SocketAddr::from(([127, 0, 0, 1], 0))
         })
     }
@@ -409,8 +408,8 @@
         })
     }
 
-    /// A time in units of `unit`, which may be a fraction: platforms state
-    /// their bounds as they like.
+    /// Reads a time in units of `unit`. It may be a fraction, as platforms state
+    /// their limits in various units.
     pub(crate) fn time(
         &mut self,
         section: &'static str,
@@ -466,20 +465,20 @@
         default.to_owned()
     }
 
-    /// Reports the sections and keys that nothing has asked for.
+    /// Reports the sections and keys that were not read.
     pub(crate) fn check_unknown(&mut self) {
         let mut unknown = vec![];
         for (section, properties) in self.ini.iter() {
             let section = section.unwrap_or_default();
-            let known = |key: &str| self.used.iter().any(|used| *used == (section, key));
-            let strange = properties.iter().filter(|(key, _)| !known(key));
+            let is_known = |key: &str| self.known.iter().any(|known| *known == (section, key));
+            let not_read = properties.iter().filter(|(key, _)| !is_known(key));
             unknown.extend(
-                strange.map(|(key, value)| (section.to_owned(), key.to_owned(), value.to_owned())),
+                not_read.map(|(key, value)| (section.to_owned(), key.to_owned(), value.to_owned())),
             );
         }
         for (section, key, value) in unknown {
             let names: Vec<&str> = self
-                .used
+                .known
                 .iter()
                 .filter(|(known, _)| *known == section)
                 .map(|(_, key)| *key)
--- a/crates/hollywell/src/trace.rs
+++ b/crates/hollywell/src/trace.rs
@@ -1,7 +1,7 @@
-//! Recorded traces: the events that one instance took, as lines of JSON.
+//! Recorded traces: the events that one instance processed, as lines of JSON.
 //!
-//! The first line holds the instance's configuration, so that a trace can be
-//! replayed by itself: the reducer has no other input.
+//! The first line holds the instance's configuration. Since the reducer has no
+//! other input, a trace can be replayed by itself.
 
 use std::io::{self, BufRead, Write};
 
@@ -18,11 +18,11 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Line {
-    /// What the instance was told at its start; the first line.
+    /// The configuration at the start of the instance; the first line.
     Config(Box<Config>),
-    /// An event that it took.
+    /// A processed event.
     Event {
-        /// When.
+        /// Time at which it was processed.
         now: Time,
         /// The event.
         event: Box<Event>,
@@ -30,11 +30,11 @@
 }
 
 impl Line {
-    /// Writes the line and its end, and flushes.
+    /// Writes the line with a line break, and flushes.
     ///
     /// # Errors
     ///
-    /// If it cannot be written.
+    /// Those of the writer.
     pub fn write(&self, to: &mut impl Write) -> io::Result<()> {
         serde_json::to_writer(&mut *to, self)?;
         to.write_all(b"\n")?;
@@ -46,8 +46,8 @@
 ///
 /// # Errors
 ///
-/// If a line cannot be read, naming its number, or if the first line is not
-/// the configuration.
+/// If a line cannot be read, with its number, or if the first line is not the
+/// configuration.
 ///
 /// # Example
 ///
@@ -58,7 +58,7 @@
 /// let mut trace = vec![];
 /// Line::Config(Box::new(config)).write(&mut trace)?;
 /// Line::Event { now: Time(5), event: Box::new(Event::Drain) }.write(&mut trace)?;
-/// // Nothing is done about a stop before the next tick.
+/// // A shutdown begins with the next tick.
 /// assert_eq!(replay(trace.as_slice())?, [vec![]]);
 /// # Ok::<(), std::io::Error>(())
 /// ```
@@ -68,30 +68,31 @@
     Ok(all)
 }
 
-/// Feeds a trace to a reducer and hands each event on with its time and its
-/// effects.
+/// Feeds a trace to a reducer and calls `each` with the time, event and effects of
+/// each step.
 ///
 /// # Errors
 ///
-/// As [`replay`].
+/// Those of [`replay`].
 pub fn replay_each(
     trace: impl BufRead,
     mut each: impl FnMut(Time, &Event, &[Effect]),
 ) -> io::Result<()> {
     let mut state = None;
     for (index, line) in trace.lines().enumerate() {
-        let fault = |text: &str| {
+        let invalid = |text: &str| {
             let text = format!("line {}: {text}", index + 1);
             io::Error::new(io::ErrorKind::InvalidData, text)
         };
-        let line: Line = serde_json::from_str(&line?).map_err(|error| fault(&error.to_string()))?;
+        let line: Line =
+            serde_json::from_str(&line?).map_err(|error| invalid(&error.to_string()))?;
         match (line, &mut state) {
             (Line::Config(config), state) => *state = Some(State::new(*config)),
             (Line::Event { now, event }, Some(state)) => {
                 let effects = state.step(now, &event);
                 each(now, &event, &effects);
             }
-            (Line::Event { .. }, None) => return Err(fault("no configuration before it")),
+            (Line::Event { .. }, None) => return Err(invalid("event before the configuration")),
         }
     }
     Ok(())
--- a/crates/hollywell/src/view.rs
+++ b/crates/hollywell/src/view.rs
@@ -1,6 +1,6 @@
-//! What an instance shows of its state: to operators, to probes, and to its
-//! own polling of the platform. A copy, a moment old, so that nobody has to
-//! wait for the control thread.
+//! Snapshot of an instance's state for operators, probes and the instance's own
+//! polling of the platform. Reading it does not block the control thread, and it
+//! may be slightly out of date.
 
 use std::collections::BTreeMap;
 
@@ -18,18 +18,18 @@
 /// A row of the table with its revision.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ViewedRow {
-    /// Revision that an edit of the row has to name.
+    /// Revision on which an edit of the row must be based.
     pub revision: u64,
     /// The row.
     pub row: Row,
 }
 
-/// A target as an instance sees it.
+/// A target as seen by an instance.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ViewedTarget {
     /// Its name.
     pub name: String,
-    /// What it is.
+    /// Engine or service.
     pub kind: Kind,
     /// Its pool.
     pub pool: String,
@@ -37,51 +37,51 @@
     pub domain: String,
     /// Its address.
     pub address: String,
-    /// True if it gets no new work because it leaves.
+    /// True if it is shutting down and gets no new work.
     pub leaving: bool,
     /// Requests in flight from this instance.
     pub in_flight: u32,
-    /// Versions that it serves, by trainer.
+    /// Weight versions that it serves, by trainer.
     pub versions: BTreeMap<String, u64>,
 }
 
-/// Another instance as an instance sees it.
+/// Another instance as seen by an instance.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ViewedPeer {
     /// Its name.
     pub name: String,
     /// Its failure domain.
     pub domain: String,
-    /// True if it answered lately.
+    /// True if it has answered recently.
     pub live: bool,
-    /// Offset of the table in force there, as it last said.
+    /// Offset up to which it has applied the log, as last reported.
     pub next: u64,
 }
 
-/// What an instance shows of its state.
+/// Snapshot of an instance's state.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct View {
     /// The instance.
     pub instance: Instance,
     /// Its failure domain.
     pub domain: String,
-    /// True if it takes calls and steps.
+    /// True if it accepts calls and steps.
     pub ready: bool,
-    /// True if it is stopping.
+    /// True if it is shutting down.
     pub draining: bool,
-    /// Offset before which every record is in force here.
+    /// Offset up to which it has applied the log.
     pub next: u64,
-    /// True if records before that are missing.
+    /// True if records before that offset are missing.
     pub gap: bool,
-    /// True if it acts as an owner of keys.
+    /// True if it is active as an owner of keys.
     pub owner: bool,
-    /// Keys whose claims are known here.
+    /// Number of keys whose claims it holds.
     pub claims: usize,
-    /// Calls and steps in flight.
+    /// Number of calls and steps in flight.
     pub in_flight: usize,
     /// The table.
     pub table: Vec<ViewedRow>,
-    /// Newest version known, by trainer of the table.
+    /// Newest known version of each trainer in the table.
     pub versions: BTreeMap<String, u64>,
     /// The other instances.
     pub peers: Vec<ViewedPeer>,
@@ -89,20 +89,20 @@
     pub targets: Vec<ViewedTarget>,
     /// Ownership maps by failure domain.
     pub maps: BTreeMap<String, Map>,
-    /// Leases on orders by failure domain.
+    /// Leases for sending orders, by failure domain.
     pub leases: BTreeMap<String, Grant>,
-    /// Accepted edits that are remembered, oldest first.
+    /// Recent accepted edits, oldest first.
     pub history: Vec<(u64, Edit)>,
-    /// What became of recent edits, by id.
+    /// Outcomes of recent edits, by id.
     pub outcomes: BTreeMap<String, Outcome>,
 }
 
 impl View {
-    /// Copies what is to be shown.
+    /// Takes a snapshot of the reducer's state.
     #[must_use]
     pub fn new(state: &State) -> View {
         let agreed = state.agreed();
-        let (next, whole) = state.folded();
+        let (next, is_complete) = state.folded();
         let rows = agreed.table.rows();
         let table: Vec<ViewedRow> =
             rows.map(|(revision, row)| ViewedRow { revision, row: row.clone() }).collect();
@@ -117,7 +117,7 @@
             ready: state.is_ready(),
             draining: state.is_draining(),
             next,
-            gap: !whole,
+            gap: !is_complete,
             owner: state.ownership().is_active(),
             claims: state.claims(),
             in_flight: state.in_flight(),
--- a/crates/hollywell/tests/settings.rs
+++ b/crates/hollywell/tests/settings.rs
@@ -36,7 +36,7 @@
     let found = faults(&format!("{text}[limits]\nqueue = 3\n"));
     let expected = [
         r#"h1.ini:1: [instance] name = "": allowed is a name; it must be set"#,
-        r#"h1.ini:9: [platform] list = "somewhere:2": allowed is an IP number and a port, as 127.0.0.1:8080"#,
+        r#"h1.ini:9: [platform] list = "somewhere:2": allowed is an IP address and a port, such as 127.0.0.1:8080"#,
         r#"h1.ini:12: [limits] queue = "3": allowed is a whole number from 16 to 1000000"#,
     ];
     for line in expected {
@@ -50,7 +50,7 @@
 fn an_own_domain_that_is_not_listed_is_a_fault() {
     let found = faults(&GOOD.replace("ruwi-hall, seeb-hall", "seeb-hall"));
     assert_eq!(found.len(), 1, "{found:?}");
-    assert!(found[0].contains(r#""ruwi-hall" among them"#), "{}", found[0]);
+    assert!(found[0].contains(r#"names that include "ruwi-hall""#), "{}", found[0]);
 }
 
 #[test]
