--- a/crates/hollywell/src/cli/ask.rs
+++ b/crates/hollywell/src/cli/ask.rs
@@ -1,4 +1,4 @@
-//! Asking a running instance.
+//! HTTP client for a running instance.
 
 use std::time::Duration;
 
@@ -9,12 +9,12 @@
 use super::Failure;
 use crate::{http::Client, view::View};
 
-/// Longest time for one question.
+/// Timeout of a request.
 const TIMEOUT: Duration = Duration::from_secs(10);
-/// Largest answer, in bytes.
+/// Maximum size of a response, in bytes.
 const MAX_RESPONSE_BYTES: usize = 64 << 20;
 
-/// The argument that names the instance to ask.
+/// Returns the argument that names the instance.
 pub(super) fn at_arg() -> Arg {
     Arg::new("at")
         .long("at")
@@ -23,7 +23,7 @@
         .required(true)
 }
 
-/// Asks the instance that the arguments name.
+/// Client of the instance that the arguments name.
 pub(super) struct AdminClient {
     runtime: tokio::runtime::Runtime,
     client: Client,
@@ -41,8 +41,8 @@
     }
 
     pub(super) fn get(&self, path: &str) -> Result<Response<Bytes>, Failure> {
-        let asked = self.client.get(&self.address, path, MAX_RESPONSE_BYTES, TIMEOUT);
-        self.runtime.block_on(asked).map_err(|error| self.failure(&error))
+        let exchange = self.client.get(&self.address, path, MAX_RESPONSE_BYTES, TIMEOUT);
+        self.runtime.block_on(exchange).map_err(|error| self.failure(&error))
     }
 
     pub(super) fn post(
@@ -51,17 +51,17 @@
         body: &impl serde::Serialize,
     ) -> Result<Response<Bytes>, Failure> {
         let body = serde_json::to_vec(body).map_err(Failure::run)?;
-        let asked = self.client.post(&self.address, path, body, MAX_RESPONSE_BYTES, TIMEOUT);
-        self.runtime.block_on(asked).map_err(|error| self.failure(&error))
+        let exchange = self.client.post(&self.address, path, body, MAX_RESPONSE_BYTES, TIMEOUT);
+        self.runtime.block_on(exchange).map_err(|error| self.failure(&error))
     }
 
     fn failure(&self, error: &crate::http::Error) -> Failure {
         Failure::Run(format!("instance {}: {error}", self.address))
     }
 
-    /// What the instance shows of its state.
+    /// Requests the instance's view of its state.
     pub(super) fn view(&self) -> Result<View, Failure> {
-        let answer = self.get("/admin/status")?;
-        serde_json::from_slice(answer.body()).map_err(Failure::run)
+        let response = self.get("/admin/status")?;
+        serde_json::from_slice(response.body()).map_err(Failure::run)
     }
 }
--- a/crates/hollywell/src/cli/mod.rs
+++ b/crates/hollywell/src/cli/mod.rs
@@ -1,5 +1,5 @@
-//! The command line. Thin: each subcommand reads its arguments, asks the
-//! library or a running instance, and prints.
+//! The command line. Each subcommand parses its arguments, calls the library or a
+//! running instance, and prints the result.
 
 use std::{fmt, path::PathBuf, process::ExitCode};
 
@@ -12,15 +12,15 @@
 mod status;
 pub mod table;
 
-/// Exit code for faulty arguments, settings or input files.
+/// Exit code for invalid arguments, settings or input files.
 const EXIT_INPUT: u8 = 2;
 
 /// Why a subcommand failed.
 #[derive(Debug)]
 pub(crate) enum Failure {
-    /// What the person gave is at fault.
+    /// The arguments, settings or input files are invalid.
     Input(String),
-    /// Something else went wrong.
+    /// Any other failure.
     Run(String),
 }
 
@@ -38,19 +38,19 @@
     }
 }
 
-/// Runs the command that the process was started with.
+/// Runs the command given by the process's arguments.
 #[must_use]
 pub fn run(adapter: &Adapter) -> ExitCode {
     let matches = match command().try_get_matches() {
         Ok(matches) => matches,
         Err(error) => {
-            // Nothing sensible is left to do if the terminal has gone.
-            let _gone = error.print();
+            // A closed terminal cannot be reported anywhere.
+            let _closed = error.print();
             let code = if error.use_stderr() { EXIT_INPUT } else { 0 };
             return ExitCode::from(code);
         }
     };
-    let ended = match matches.subcommand() {
+    let result = match matches.subcommand() {
         Some(("serve", args)) => serve(args),
         Some(("enter", args)) => enter(adapter, args),
         Some(("check", args)) => check(args),
@@ -60,7 +60,7 @@
         Some(("replay", args)) => replay::run(args),
         _ => Err(Failure::Input(String::from("no subcommand; see --help"))),
     };
-    match ended {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(failure) => {
             eprintln!("hollywell: {failure}");
@@ -72,7 +72,7 @@
     }
 }
 
-/// The command line's definition.
+/// Returns the definition of the command line.
 #[must_use]
 pub fn command() -> Command {
     Command::new("hollywell")
--- a/crates/hollywell/src/cli/replay.rs
+++ b/crates/hollywell/src/cli/replay.rs
@@ -1,4 +1,5 @@
-//! `hollywell replay`: feeds a recorded trace to the reducer.
+//! `hollywell replay`: feeds a recorded trace to the reducer and prints or compares
+//! its effects.
 
 use std::{
     fs::File,
@@ -32,9 +33,10 @@
 
 pub(super) fn run(args: &ArgMatches) -> Result<(), Failure> {
     let path = args.get_one::<PathBuf>("trace").cloned().unwrap_or_default();
-    let at = |error| Failure::Input(format!("{}: {error}", path.display()));
-    let trace = BufReader::new(File::open(&path).map_err(at)?);
-    let effects: Vec<Effect> = trace::replay(trace).map_err(at)?.into_iter().flatten().collect();
+    let in_file = |error| Failure::Input(format!("{}: {error}", path.display()));
+    let trace = BufReader::new(File::open(&path).map_err(in_file)?);
+    let effects: Vec<Effect> =
+        trace::replay(trace).map_err(in_file)?.into_iter().flatten().collect();
     match args.get_one::<PathBuf>("expect") {
         Some(expected) => compare(&effects, expected),
         None => {
@@ -47,8 +49,8 @@
 }
 
 fn compare(effects: &[Effect], expected: &Path) -> Result<(), Failure> {
-    let wanted = lines(expected)?;
-    for (index, line) in wanted.iter().enumerate() {
+    let expected_lines = lines(expected)?;
+    for (index, line) in expected_lines.iter().enumerate() {
         let wanted: Effect = serde_json::from_str(line).map_err(|error| {
             Failure::Input(format!("{}:{}: {error}", expected.display(), index + 1))
         })?;
@@ -59,20 +61,20 @@
             return Err(Failure::Run(format!("effect {place}: expected {line}, got {got}")));
         }
     }
-    match effects.len() == wanted.len() {
+    match effects.len() == expected_lines.len() {
         true => {
-            println!("{} effects as expected", wanted.len());
+            println!("{} effects as expected", expected_lines.len());
             Ok(())
         }
         false => {
-            let (got, wanted) = (effects.len(), wanted.len());
+            let (got, wanted) = (effects.len(), expected_lines.len());
             Err(Failure::Run(format!("expected {wanted} effects, got {got}")))
         }
     }
 }
 
 fn lines(path: &Path) -> Result<Vec<String>, Failure> {
-    let at = |error: std::io::Error| Failure::Input(format!("{}: {error}", path.display()));
-    let file = File::open(path).map_err(at)?;
-    BufReader::new(file).lines().collect::<Result<_, _>>().map_err(at)
+    let in_file = |error: std::io::Error| Failure::Input(format!("{}: {error}", path.display()));
+    let file = File::open(path).map_err(in_file)?;
+    BufReader::new(file).lines().collect::<Result<_, _>>().map_err(in_file)
 }
--- a/crates/hollywell/src/cli/report.rs
+++ b/crates/hollywell/src/cli/report.rs
@@ -1,4 +1,4 @@
-//! `hollywell report`: collects scrapes and shows the service-level burn.
+//! `hollywell report`: collects scrapes and prints burn rates and step breakdowns.
 
 use std::{
     fs,
@@ -113,9 +113,9 @@
 
 fn show_steps(args: &ArgMatches) -> Result<(), Failure> {
     let path = args.get_one::<PathBuf>("log").cloned().unwrap_or_default();
-    let at = |error| Failure::Input(format!("{}: {error}", path.display()));
-    let log = BufReader::new(fs::File::open(&path).map_err(at)?);
-    let mut steps = steps::read(log).map_err(at)?;
+    let in_file = |error| Failure::Input(format!("{}: {error}", path.display()));
+    let log = BufReader::new(fs::File::open(&path).map_err(in_file)?);
+    let mut steps = steps::read(log).map_err(in_file)?;
     if let Some(job) = args.get_one::<String>("job") {
         steps.retain(|step| step.job == *job);
     }
@@ -139,11 +139,11 @@
 fn scrapes(args: &ArgMatches) -> Result<Vec<Scrape>, Failure> {
     let path = |name: &str| args.get_one::<PathBuf>(name);
     if let Some(trace) = path("trace") {
-        let at = |error| Failure::Input(format!("{}: {error}", trace.display()));
-        let file = BufReader::new(fs::File::open(trace).map_err(at)?);
-        return traced::scrapes(file).map_err(at);
+        let in_file = |error| Failure::Input(format!("{}: {error}", trace.display()));
+        let file = BufReader::new(fs::File::open(trace).map_err(in_file)?);
+        return traced::scrapes(file).map_err(in_file);
     }
     let from = path("from").cloned().unwrap_or_default();
-    let at = |error| Failure::Input(format!("{}: {error}", from.display()));
-    Scrape::load_all(&from).map_err(at)
+    let in_file = |error| Failure::Input(format!("{}: {error}", from.display()));
+    Scrape::load_all(&from).map_err(in_file)
 }
--- a/crates/hollywell/src/cli/status.rs
+++ b/crates/hollywell/src/cli/status.rs
@@ -1,4 +1,4 @@
-//! `hollywell status`.
+//! `hollywell status`: prints an instance's view of its state.
 
 use clap::{Arg, ArgAction, ArgMatches, Command};
 
--- a/crates/hollywell/src/cli/table.rs
+++ b/crates/hollywell/src/cli/table.rs
@@ -1,5 +1,5 @@
-//! `hollywell table`: the operators' table, shown, edited, and exchanged
-//! with a spreadsheet as CSV.
+//! `hollywell table`: prints and edits the table of trainers, and imports and
+//! exports it as CSV.
 
 use std::{
     collections::BTreeMap,
@@ -22,10 +22,10 @@
     view::{View, ViewedRow},
 };
 
-/// Columns of the CSV form.
+/// Columns of the CSV format.
 const COLUMNS: [&str; 6] = ["trainer", "weight", "staleness", "priority", "in_flight", "revision"];
-/// How long `--wait` waits for a change to be in force everywhere.
-const WAIT: Duration = Duration::from_secs(30);
+/// Maximum time for which `--wait` waits until all instances apply a change.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
 pub(super) fn command() -> Command {
     let by = Arg::new("by")
@@ -137,11 +137,11 @@
     }
 }
 
-/// Reads rows from the CSV form, with the revision that each was based on.
+/// Parses rows in CSV format, each with the revision on which it is based.
 ///
 /// # Errors
 ///
-/// A line that names the row and the column at fault, and what is allowed.
+/// A message with the row and column of the first fault and the allowed values.
 ///
 /// # Example
 ///
@@ -192,14 +192,14 @@
         self.record.get(column).unwrap_or_default().to_owned()
     }
 
-    fn number<T: TryFrom<u64>>(&self, column: usize, least: u64, most: u64) -> Result<T, String> {
+    fn number<T: TryFrom<u64>>(&self, column: usize, min: u64, max: u64) -> Result<T, String> {
         let text = self.text(column);
         let parsed = text.parse::<u64>().ok();
-        let fits = parsed.filter(|number| (least..=most).contains(number));
+        let fits = parsed.filter(|number| (min..=max).contains(number));
         let number = fits.and_then(|number| T::try_from(number).ok());
         number.ok_or_else(|| {
             let (line, name) = (self.line, COLUMNS[column]);
-            format!("row {line}, column {name}: {text:?}: allowed is {least} to {most}")
+            format!("row {line}, column {name}: {text:?}: allowed is {min} to {max}")
         })
     }
 }
@@ -223,7 +223,7 @@
     for (row, revision) in changed {
         last = last.max(Some(submit(args, &admin, &row.trainer, Some(row.clone()), *revision)?));
     }
-    wait_if_asked(args, &admin, last)
+    wait_if_requested(args, &admin, last)
 }
 
 fn edit(args: &ArgMatches) -> Result<(), Failure> {
@@ -237,7 +237,7 @@
         false => Some(edited(args, &trainer, current.map(|row| &row.row))?),
     };
     let revision = submit(args, &admin, &trainer, row, base)?;
-    wait_if_asked(args, &admin, Some(revision))
+    wait_if_requested(args, &admin, Some(revision))
 }
 
 fn edited(args: &ArgMatches, trainer: &str, current: Option<&Row>) -> Result<Row, Failure> {
@@ -271,27 +271,28 @@
     let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     let id = format!("{by}-{}-{}-{trainer}", std::process::id(), since.as_nanos());
     let edit = Edit { id: id.clone(), by, trainer: trainer.to_owned(), base, row };
-    let answer = admin.post("/admin/edits", &edit)?;
-    let outcome = serde_json::from_slice::<Outcome>(answer.body());
-    match (answer.status(), outcome) {
+    let response = admin.post("/admin/edits", &edit)?;
+    let outcome = serde_json::from_slice::<Outcome>(response.body());
+    match (response.status(), outcome) {
         (StatusCode::OK, Ok(Outcome::Accepted { revision })) => {
             println!("{trainer}: accepted as revision {revision}");
             Ok(revision)
         }
         (_, Ok(Outcome::Conflict { by, revision })) => {
-            let now = revision.map_or(String::from("no row"), |number| number.to_string());
-            let text = format!("{trainer}: conflict: {by} changed it first; revision is now {now}");
+            let current = revision.map_or(String::from("no row"), |number| number.to_string());
+            let text =
+                format!("{trainer}: conflict: {by} changed it first; revision is now {current}");
             Err(Failure::Run(text))
         }
         (status, _) => {
-            let text = String::from_utf8_lossy(answer.body());
+            let text = String::from_utf8_lossy(response.body());
             Err(Failure::Run(format!("{trainer}: status {status}, edit id {id}: {text}")))
         }
     }
 }
 
-/// Waits until every live instance has folded past `revision`.
-fn wait_if_asked(
+/// With `--wait`, waits until every live instance has applied `revision`.
+fn wait_if_requested(
     args: &ArgMatches,
     admin: &AdminClient,
     revision: Option<u64>,
@@ -299,7 +300,7 @@
     let Some(revision) = revision.filter(|_| args.get_flag("wait")) else {
         return Ok(());
     };
-    let deadline = Instant::now() + WAIT;
+    let deadline = Instant::now() + WAIT_TIMEOUT;
     loop {
         let view = admin.view()?;
         let behind: Vec<&str> = view
--- a/crates/hollywell/src/report/mod.rs
+++ b/crates/hollywell/src/report/mod.rs
@@ -1,15 +1,14 @@
-//! Service-level burn: how fast the error budgets are being used up.
+//! Burn rates of service level objectives: how fast their error budgets are used up.
 //!
-//! It reads scraped metrics of all instances, each scrape a file, and works
-//! out for each objective and window how many times faster than allowed its
-//! budget burns: the share of bad events over the share that the objective
-//! allows. A pair of windows, a long and a short one, must both burn before
-//! it alarms, so that it neither cries at a blip nor goes on after the end
-//! ("The Site Reliability Workbook", chapter 5, "Multiwindow, Multi-Burn-Rate
-//! Alerts").
+//! The input is scraped metrics of all instances, one file per scrape. The burn
+//! rate of an objective over a window is the ratio of bad events divided by the
+//! ratio that the objective allows. An alarm requires that a long and a short
+//! window both burn too fast, so that it neither fires on a brief spike nor
+//! continues after the incident ("The Site Reliability Workbook", chapter 5,
+//! "Multiwindow, Multi-Burn-Rate Alerts").
 //!
-//! What it leaves out: keeping scrapes, which is whatever the operators
-//! already run, or `hollywell report collect`.
+//! Collecting scrapes is left to the operators' monitoring or to `hollywell report
+//! collect`.
 
 pub mod page;
 pub mod scrape;
@@ -20,20 +19,20 @@
 
 use scrape::Scrape;
 
-/// What a service level is about, and how much of it may be bad.
+/// A service level objective.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct Objective {
     /// Its name.
     pub name: &'static str,
-    /// What counts as bad, for a person.
+    /// Description of bad events.
     pub bad: &'static str,
-    /// Share of events that must be good.
+    /// Ratio of events that must be good.
     pub target: f64,
     #[serde(skip)]
     count: fn(&Scrape) -> Tally,
 }
 
-/// Bad events among all.
+/// Number of bad events and of all events.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Tally {
     /// Bad events.
@@ -42,8 +41,8 @@
     pub all: f64,
 }
 
-/// Answers slower than this count against the latency objective, in seconds;
-/// a bound of the histogram.
+/// Threshold of the latency objective in seconds, which is also a bucket of the
+/// histogram. Slower responses are bad events.
 pub const SLOW_S: f64 = 0.25;
 
 /// The objectives, in the order of the report.
@@ -85,25 +84,25 @@
     Tally { bad: unknown, all: unknown + answers("target") + answers("not-run") }
 }
 
-/// A pair of windows and the burn at which both alarm.
+/// A pair of windows and the burn rate at which they alarm.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Windows {
     /// The long window, in seconds.
     pub long_s: u64,
     /// The short window, in seconds.
     pub short_s: u64,
-    /// Burn from which on it alarms.
+    /// Burn rate at which both windows must burn for an alarm.
     pub alarm: f64,
 }
 
-/// The usual pairs for a budget of thirty days: a fiftieth of it in an hour,
-/// a twentieth in six.
+/// The usual window pairs for an error budget of 30 days: an alarm if 2% of it are
+/// used in 1 h, or 5% in 6 h.
 pub const WINDOWS: [Windows; 2] = [
     Windows { long_s: 3_600, short_s: 300, alarm: 14.4 },
     Windows { long_s: 21_600, short_s: 1_800, alarm: 6.0 },
 ];
 
-/// Burn of one objective over one pair of windows.
+/// Burn rates of one objective over one pair of windows.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Burn {
     /// The objective's name.
@@ -112,15 +111,15 @@
     pub windows: Windows,
     /// Events in the long window.
     pub long: Tally,
-    /// Burn over the long window.
+    /// Burn rate over the long window.
     pub long_burn: f64,
-    /// Burn over the short window.
+    /// Burn rate over the short window.
     pub short_burn: f64,
-    /// True if both burn at or above the alarm.
+    /// True if both burn rates reach the alarm threshold.
     pub alarms: bool,
 }
 
-/// Works out the burn of all objectives at the time of the last scrape.
+/// Computes the burn rates of all objectives at the time of the last scrape.
 ///
 /// # Example
 ///
@@ -134,7 +133,7 @@
 /// let scrapes = [
 ///     Scrape::parse(0, "h1", &text(0, 0))?,
 ///     Scrape::parse(3_000, "h1", &text(0, 90))?,
-///     // The instance was replaced: its counters began anew.
+///     // The instance was restarted, which reset its counters.
 ///     Scrape::parse(3_500, "h1", &text(2, 8))?,
 /// ];
 /// let steps = &burns(&scrapes)[0];
@@ -145,7 +144,7 @@
 #[must_use]
 pub fn burns(scrapes: &[Scrape]) -> Vec<Burn> {
     let end = scrapes.iter().map(|scrape| scrape.at_s).max().unwrap_or_default();
-    let one = |objective: &Objective, windows: Windows| {
+    let compute = |objective: &Objective, windows: Windows| {
         let long = tally(scrapes, objective, end.saturating_sub(windows.long_s), end);
         let short = tally(scrapes, objective, end.saturating_sub(windows.short_s), end);
         let (long_burn, short_burn) = (burn(objective, long), burn(objective, short));
@@ -154,7 +153,7 @@
     };
     OBJECTIVES
         .iter()
-        .flat_map(|objective| WINDOWS.iter().map(move |windows| one(objective, *windows)))
+        .flat_map(|objective| WINDOWS.iter().map(move |windows| compute(objective, *windows)))
         .collect()
 }
 
@@ -165,24 +164,24 @@
     }
 }
 
-/// Events of all instances between two times, from the counters' increases.
-/// A counter that went back belongs to a new run and counts from zero.
+/// Counts the events of all instances between two times by the increase of their
+/// counters. A counter that decreased was reset by a restart and counts from zero.
 fn tally(scrapes: &[Scrape], objective: &Objective, from_s: u64, to_s: u64) -> Tally {
     let mut total = Tally::default();
     let mut instances: Vec<&str> = scrapes.iter().map(|scrape| scrape.instance.as_str()).collect();
     instances.sort_unstable();
     instances.dedup();
     for instance in instances {
-        let mut own: Vec<&Scrape> =
+        let mut of_instance: Vec<&Scrape> =
             scrapes.iter().filter(|scrape| scrape.instance == instance).collect();
-        own.sort_by_key(|scrape| scrape.at_s);
-        for pair in own.windows(2) {
+        of_instance.sort_by_key(|scrape| scrape.at_s);
+        for pair in of_instance.windows(2) {
             if pair[1].at_s <= from_s || pair[1].at_s > to_s {
                 continue;
             }
             let (before, after) = ((objective.count)(pair[0]), (objective.count)(pair[1]));
-            let began_anew = after.all < before.all || after.bad < before.bad;
-            let before = if began_anew { Tally::default() } else { before };
+            let was_reset = after.all < before.all || after.bad < before.bad;
+            let before = if was_reset { Tally::default() } else { before };
             total.bad += after.bad - before.bad;
             total.all += after.all - before.all;
         }
@@ -190,10 +189,10 @@
     total
 }
 
-/// Burn of one objective at each scrape time, over windows of `window_s`
-/// seconds, for a plot.
+/// Returns the burn rate of an objective at each scrape time, over windows of
+/// `window_s` seconds.
 #[must_use]
-pub fn course(scrapes: &[Scrape], objective: &Objective, window_s: u64) -> Vec<(u64, f64)> {
+pub fn burn_series(scrapes: &[Scrape], objective: &Objective, window_s: u64) -> Vec<(u64, f64)> {
     let mut times: Vec<u64> = scrapes.iter().map(|scrape| scrape.at_s).collect();
     times.sort_unstable();
     times.dedup();
--- a/crates/hollywell/src/report/page.rs
+++ b/crates/hollywell/src/report/page.rs
@@ -1,4 +1,4 @@
-//! The report as a page: a table, and a plot of each objective's burn.
+//! The report as text, or as an HTML page with a plot of each objective's burn rate.
 
 use std::fmt::Write as _;
 
@@ -10,12 +10,12 @@
     style::{BLUE, RED, WHITE},
 };
 
-use super::{OBJECTIVES, WINDOWS, burns, course, scrape::Scrape};
+use super::{OBJECTIVES, WINDOWS, burn_series, burns, scrape::Scrape};
 
 /// Width and height of a plot, in pixels.
 const PLOT_SIZE: (u32, u32) = (720, 220);
 
-/// The report as text.
+/// Formats the report as a text table.
 #[must_use]
 pub fn text(scrapes: &[Scrape]) -> String {
     let mut out = String::new();
@@ -41,7 +41,7 @@
     out
 }
 
-/// The report as one HTML page that needs nothing else.
+/// Formats the report as a self-contained HTML page.
 ///
 /// # Errors
 ///
@@ -86,18 +86,18 @@
             objective.target * 100.0,
             WINDOWS[0].short_s / 60
         )?;
-        page.push_str(&plot(&course(scrapes, objective, WINDOWS[0].short_s))?);
+        page.push_str(&plot(&burn_series(scrapes, objective, WINDOWS[0].short_s))?);
     }
     page.push_str("</body></html>\n");
     Ok(page)
 }
 
-fn plot(course: &[(u64, f64)]) -> Result<String, Box<dyn std::error::Error>> {
+fn plot(series: &[(u64, f64)]) -> Result<String, Box<dyn std::error::Error>> {
     let alarm = WINDOWS[0].alarm;
-    let first = course.first().map_or(0, |(at, _)| *at);
+    let first = series.first().map_or(0, |(at, _)| *at);
     let minutes = |at: u64| at.saturating_sub(first) as f64 / 60.0;
-    let last = course.last().map_or(1.0, |(at, _)| minutes(*at)).max(1.0);
-    let top = course.iter().map(|(_, burn)| *burn).fold(alarm, f64::max) * 1.1;
+    let last = series.last().map_or(1.0, |(at, _)| minutes(*at)).max(1.0);
+    let top = series.iter().map(|(_, burn)| *burn).fold(alarm, f64::max) * 1.1;
     let mut svg = String::new();
     {
         let area = SVGBackend::with_string(&mut svg, PLOT_SIZE).into_drawing_area();
@@ -108,7 +108,7 @@
             .y_label_area_size(45)
             .build_cartesian_2d(0.0..last, 0.0..top)?;
         chart.configure_mesh().x_desc("minutes").y_desc("burn").draw()?;
-        let points = course.iter().map(|(at, burn)| (minutes(*at), *burn));
+        let points = series.iter().map(|(at, burn)| (minutes(*at), *burn));
         chart.draw_series(LineSeries::new(points, &BLUE))?;
         chart.draw_series(LineSeries::new([(0.0, alarm), (last, alarm)], &RED))?;
         area.present()?;
--- a/crates/hollywell/src/report/scrape.rs
+++ b/crates/hollywell/src/report/scrape.rs
@@ -1,4 +1,4 @@
-//! One scrape of one instance's metrics.
+//! Scrapes of instances' metrics.
 
 use std::{
     fs, io,
@@ -7,10 +7,10 @@
 
 use prometheus_parse::{Sample, Value};
 
-/// The metrics of one instance at one time.
+/// Metrics of one instance at one time.
 #[derive(Clone, Debug)]
 pub struct Scrape {
-    /// Seconds since the epoch.
+    /// Unix time in seconds.
     pub at_s: u64,
     /// The instance's name.
     pub instance: String,
@@ -18,18 +18,18 @@
 }
 
 impl Scrape {
-    /// Reads the Prometheus exposition format.
+    /// Parses the Prometheus exposition format.
     ///
     /// # Errors
     ///
-    /// If a line cannot be read.
+    /// If a line is invalid.
     pub fn parse(at_s: u64, instance: &str, text: &str) -> io::Result<Scrape> {
         let lines = text.lines().map(|line| Ok(line.to_owned()));
         let scraped = prometheus_parse::Scrape::parse(lines)?;
         Ok(Scrape { at_s, instance: instance.to_owned(), samples: scraped.samples })
     }
 
-    /// Where a scrape is kept in a directory: `{at_s}-{instance}.prom`.
+    /// Returns the path of a scrape in a directory: `{at_s}-{instance}.prom`.
     #[must_use]
     pub fn path(directory: &Path, at_s: u64, instance: &str) -> PathBuf {
         directory.join(format!("{at_s}-{instance}.prom"))
@@ -39,7 +39,7 @@
     ///
     /// # Errors
     ///
-    /// If a file cannot be read, or its name says neither time nor instance.
+    /// If a file cannot be read, or its name has not the form of [`Scrape::path`].
     pub fn load_all(directory: &Path) -> io::Result<Vec<Scrape>> {
         let mut scrapes = vec![];
         for entry in fs::read_dir(directory)? {
@@ -60,7 +60,7 @@
         Ok(scrapes)
     }
 
-    /// The value of a counter with one label, zero if it is not there.
+    /// Returns the value of a counter with one label, or zero if it is missing.
     #[must_use]
     pub fn counter(&self, name: &str, label: &str, value: &str) -> f64 {
         let matches =
@@ -72,8 +72,8 @@
         self.samples.iter().find(matches).map_or(0.0, number)
     }
 
-    /// Observations of a histogram with one label that are at most `bound`,
-    /// and all of them.
+    /// Returns the number of observations of a histogram with one label that are at
+    /// most `bound`, and the number of all of them.
     #[must_use]
     pub fn histogram(&self, name: &str, label: &str, value: &str, bound: f64) -> (f64, f64) {
         let matches =
--- a/crates/hollywell/src/report/steps.rs
+++ b/crates/hollywell/src/report/steps.rs
@@ -1,13 +1,14 @@
-//! What the time of a step is made of, from the logs of all instances.
+//! Breakdown of the duration of steps, from the logs of all instances.
 //!
-//! A step ends with its last sample, so that sample is followed: until it
-//! begins, while it runs (as long as on an idle engine, and longer), until it
-//! is listed, until the trainer, who has read it, ends the step. Logs must be
-//! of level debug, each line with the seconds and the instance in front, as
-//! collectors put them: `41.2 h1 {"level":"DEBUG",...,"message":"..."}`.
+//! A step ends with its last sample, so the breakdown follows that sample: until it
+//! starts; while it runs, divided into the time on an idle engine and the excess;
+//! until its result is listed; and until the trainer has read it and ends the step.
+//! The logs must have level debug, and each line must be prefixed by seconds and
+//! instance, as log collectors do: `41.2 h1
+//! {"level":"DEBUG",...,"message":"..."}`.
 //!
-//! What it leaves out: steps without an end or a whole sample, and who was at
-//! fault; `docs/OPERATIONS.md` says where to look next.
+//! Steps without an end or without a complete sample are left out. The report does
+//! not name causes; `docs/OPERATIONS.md` describes how to find them.
 
 use std::{
     collections::BTreeMap,
@@ -17,38 +18,37 @@
 
 use serde::Deserialize;
 
-/// Events from which on a run tells of its engine's pace: shorter ones are
-/// mostly waiting.
+/// Minimum number of events of a run from which an engine's speed is derived.
+/// Shorter runs mostly wait.
 const MIN_EVENTS: u64 = 20;
-/// Share of runs that are faster than what is taken for an idle engine's
-/// pace.
-const IDLE_SHARE: f64 = 0.05;
-/// Share of the samples that have begun where "most have".
-const MOST: f64 = 0.9;
+/// Quantile of the time per event that is taken as that of an idle engine.
+const IDLE_QUANTILE: f64 = 0.05;
+/// Ratio of started samples for [`Step::most_begun`].
+const MOST_BEGUN: f64 = 0.9;
 
-/// One step, in seconds.
+/// Breakdown of one step, in seconds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Step {
-    /// Its job.
+    /// Id of its job.
     pub job: String,
-    /// Samples.
+    /// Number of samples.
     pub samples: u64,
-    /// From its acceptance until nine tenths of the samples had begun.
+    /// From the acceptance of the job until 90% of the samples had started.
     pub most_begun: f64,
-    /// From its acceptance until its last sample began.
+    /// From the acceptance of the job until the last sample started.
     pub begins: f64,
-    /// What that sample would have taken on an idle engine.
+    /// Time that the last sample would have taken on an idle engine.
     pub idle: f64,
-    /// What it took beyond that: crowded or slow engines, moves.
+    /// Excess over that time, due to crowded or slow engines or moves.
     pub lost: f64,
-    /// From its end until it was listed.
+    /// From the end of the last sample until its result was listed.
     pub listed: f64,
     /// From then until the trainer ended the step.
     pub read: f64,
 }
 
 impl Step {
-    /// From its acceptance until its end.
+    /// From the acceptance of the job until its end.
     #[must_use]
     pub fn total(&self) -> f64 {
         self.begins + self.idle + self.lost + self.listed + self.read
@@ -60,27 +60,27 @@
     message: String,
 }
 
-/// A sample as the logs tell of it.
+/// A sample as found in the logs.
 #[derive(Clone, Debug, Default)]
 struct Sample {
     began: Option<f64>,
     moved: bool,
-    /// When its text was whole, and of how many events.
-    whole: Option<(f64, u64)>,
+    /// When its text was complete, and its number of events.
+    completed: Option<(f64, u64)>,
     listed: Option<f64>,
 }
 
-/// A job as the logs tell of it.
+/// A job as found in the logs.
 #[derive(Clone, Debug, Default)]
 struct Job {
     samples: u64,
     accepted: Option<f64>,
     ended: Option<f64>,
-    by_place: BTreeMap<u64, Sample>,
+    by_index: BTreeMap<u64, Sample>,
 }
 
-/// Reads the steps that a log tells of, in the order of their acceptance.
-/// Lines of another form are skipped.
+/// Reads the steps from a log, in the order of their acceptance. Lines of another
+/// form are skipped.
 ///
 /// # Errors
 ///
@@ -98,7 +98,7 @@
 /// 4.0 h1 {"message":"end of job j accepted"}"#;
 /// let step = &read(log.as_bytes())?[0];
 /// assert!((step.begins - 0.5).abs() < 1e-9 && (step.idle - 2.0).abs() < 1e-9);
-/// // A step without an end is none: nobody knows how long it took.
+/// // A step without an end is left out, as its duration is unknown.
 /// assert!(read(&log.as_bytes()[..log.len() - 40])?.is_empty());
 /// # Ok::<(), std::io::Error>(())
 /// ```
@@ -110,18 +110,20 @@
         let at = words.next().and_then(|at| at.parse::<f64>().ok());
         let parsed = words.nth(1).and_then(|json| serde_json::from_str::<Line>(json).ok());
         if let (Some(at), Some(Line { message })) = (at, parsed) {
-            take(&mut jobs, at, &message);
+            apply(&mut jobs, at, &message);
         }
     }
-    let pace = idle_pace(&jobs);
-    let mut steps: Vec<(f64, Step)> =
-        jobs.iter().filter_map(|(id, job)| Some((job.accepted?, step(id, job, pace)?))).collect();
+    let idle_pace = idle_seconds_per_event(&jobs);
+    let mut steps: Vec<(f64, Step)> = jobs
+        .iter()
+        .filter_map(|(id, job)| Some((job.accepted?, step(id, job, idle_pace)?)))
+        .collect();
     steps.sort_by(|(a, _), (b, _)| a.total_cmp(b));
     Ok(steps.into_iter().map(|(_, step)| step).collect())
 }
 
-/// Takes one message over.
-fn take(jobs: &mut BTreeMap<String, Job>, at: f64, message: &str) {
+/// Applies one log message.
+fn apply(jobs: &mut BTreeMap<String, Job>, at: f64, message: &str) {
     let words: Vec<&str> = message.split(' ').collect();
     match words[..] {
         ["job", id, "of", samples, "samples", "accepted"] => {
@@ -134,75 +136,76 @@
             job.ended = job.ended.or(Some(at));
         }
         ["sample", slot, ref rest @ ..] => {
-            let Some((id, place)) = slot.split_once('/') else {
+            let Some((id, index)) = slot.split_once('/') else {
                 return;
             };
-            let Ok(place) = place.parse() else {
+            let Ok(index) = index.parse() else {
                 return;
             };
             let job = jobs.entry(id.to_owned()).or_default();
-            tell(job.by_place.entry(place).or_default(), at, rest);
+            apply_to_sample(job.by_index.entry(index).or_default(), at, rest);
         }
         _ => {}
     }
 }
 
-/// Takes over what a message says of a sample.
-fn tell(sample: &mut Sample, at: f64, words: &[&str]) {
+/// Applies a log message about a sample.
+fn apply_to_sample(sample: &mut Sample, at: f64, words: &[&str]) {
     match words {
         ["starts", "at", ..] if sample.began.is_none() => sample.began = Some(at),
         ["starts", "at", ..] => sample.moved = true,
-        ["at", _, "Whole,", events, "events"] if sample.whole.is_none() => {
-            sample.whole = events.parse().ok().map(|events| (at, events));
+        ["at", _, "Whole,", events, "events"] if sample.completed.is_none() => {
+            sample.completed = events.parse().ok().map(|events| (at, events));
         }
         ["is", "whole:", ..] if sample.listed.is_none() => sample.listed = Some(at),
         _ => {}
     }
 }
 
-/// Seconds an event on an idle engine: as fast as the fastest runs that never
-/// moved.
-fn idle_pace(jobs: &BTreeMap<String, Job>) -> f64 {
-    let pace = |sample: &Sample| {
-        let (whole, events) = sample.whole?;
+/// Returns the seconds per event on an idle engine: those of the fastest runs that
+/// never moved.
+fn idle_seconds_per_event(jobs: &BTreeMap<String, Job>) -> f64 {
+    let seconds_per_event = |sample: &Sample| {
+        let (completed, events) = sample.completed?;
         let began = sample.began.filter(|_| !sample.moved && events >= MIN_EVENTS)?;
-        Some((whole - began) / events as f64)
+        Some((completed - began) / events as f64)
     };
-    let mut paces: Vec<f64> =
-        jobs.values().flat_map(|job| job.by_place.values()).filter_map(pace).collect();
-    share_of(&mut paces, IDLE_SHARE)
+    let mut all: Vec<f64> =
+        jobs.values().flat_map(|job| job.by_index.values()).filter_map(seconds_per_event).collect();
+    quantile(&mut all, IDLE_QUANTILE)
 }
 
-/// The value below which a share of all values lies; 0 if there are none.
-fn share_of(values: &mut [f64], share: f64) -> f64 {
+/// Returns a quantile of the values, or 0 if there are none.
+fn quantile(values: &mut [f64], ratio: f64) -> f64 {
     values.sort_by(f64::total_cmp);
-    let at = (values.len() as f64 * share) as usize;
+    let at = (values.len() as f64 * ratio) as usize;
     values.get(at.min(values.len().saturating_sub(1))).copied().unwrap_or(0.0)
 }
 
-fn step(id: &str, job: &Job, pace: f64) -> Option<Step> {
+fn step(id: &str, job: &Job, idle_seconds_per_event: f64) -> Option<Step> {
     let (accepted, ended) = (job.accepted?, job.ended?);
     let counted = |sample: &&Sample| sample.listed.is_some_and(|listed| listed <= ended);
-    let last = job.by_place.values().filter(counted);
+    let last = job.by_index.values().filter(counted);
     let last = last.max_by(|a, b| a.listed.unwrap_or(0.0).total_cmp(&b.listed.unwrap_or(0.0)))?;
     let (began, listed) = (last.began?, last.listed?);
-    let (whole, events) = last.whole?;
+    let (completed, events) = last.completed?;
     let mut begun: Vec<f64> =
-        job.by_place.values().filter_map(|sample| Some(sample.began? - accepted)).collect();
-    let idle = events as f64 * pace;
+        job.by_index.values().filter_map(|sample| Some(sample.began? - accepted)).collect();
+    let idle = events as f64 * idle_seconds_per_event;
     Some(Step {
         job: id.to_owned(),
         samples: job.samples,
-        most_begun: share_of(&mut begun, MOST),
+        most_begun: quantile(&mut begun, MOST_BEGUN),
         begins: began - accepted,
         idle,
-        lost: whole - began - idle,
-        listed: listed - whole,
+        lost: completed - began - idle,
+        listed: listed - completed,
         read: ended - listed,
     })
 }
 
-/// The steps as a table, and the median and ninth tenth of each column.
+/// Formats the steps as a table with the median and the 90th percentile of each
+/// column.
 #[must_use]
 pub fn text(steps: &[Step]) -> String {
     let mut out = String::from(
@@ -212,10 +215,10 @@
         let all = columns(step);
         row(&mut out, &step.job, &step.samples.to_string(), all);
     }
-    for (name, share) in [("p50", 0.5), ("p90", 0.9)] {
+    for (name, ratio) in [("p50", 0.5), ("p90", 0.9)] {
         let column = |at: usize| {
             let mut values: Vec<f64> = steps.iter().map(|step| columns(step)[at]).collect();
-            share_of(&mut values, share)
+            quantile(&mut values, ratio)
         };
         row(&mut out, name, "", std::array::from_fn(column));
     }
--- a/crates/hollywell/src/report/traced.rs
+++ b/crates/hollywell/src/report/traced.rs
@@ -1,5 +1,5 @@
-//! The report from a recorded trace: what the metrics would have said, read
-//! off the reducer's effects.
+//! Reconstructs metrics for the report from a recorded trace, by the reducer's
+//! effects.
 
 use std::{
     collections::BTreeMap,
@@ -18,8 +18,8 @@
     trace,
 };
 
-/// Time between the scrapes that a trace is turned into, in milliseconds.
-const EVERY_MS: u64 = 1_000;
+/// Interval of the reconstructed scrapes, in milliseconds.
+const SCRAPE_INTERVAL_MS: u64 = 1_000;
 
 #[derive(Debug, Default)]
 struct Counts {
@@ -33,7 +33,7 @@
 }
 
 impl Counts {
-    fn take(&mut self, now: Time, event: &Event, effects: &[Effect]) {
+    fn record(&mut self, now: Time, event: &Event, effects: &[Effect]) {
         if let Event::Call { request, .. } = event {
             self.arrived.insert(*request, now);
         }
@@ -41,13 +41,13 @@
             match effect {
                 Effect::EndStep { missing: 0, .. } => self.whole += 1,
                 Effect::EndStep { reason: Some(Kind::DeadlinePassed), .. } => self.late += 1,
-                Effect::Reply { request, reply, .. } => self.replied(now, *request, reply),
+                Effect::Reply { request, reply, .. } => self.record_reply(now, *request, reply),
                 _ => {}
             }
         }
     }
 
-    fn replied(&mut self, now: Time, request: Request, reply: &Reply) {
+    fn record_reply(&mut self, now: Time, request: Request, reply: &Reply) {
         let Some(arrived) = self.arrived.remove(&request) else {
             return;
         };
@@ -80,7 +80,7 @@
     }
 }
 
-/// Turns a trace into scrapes, one for each second of it.
+/// Converts a trace into scrapes, one for each second of it.
 ///
 /// # Errors
 ///
@@ -92,9 +92,9 @@
     trace::replay_each(trace, |now, event, effects| {
         if now >= due {
             texts.push((now.0 / 1_000, counts.text()));
-            due = now.after(EVERY_MS);
+            due = now.after(SCRAPE_INTERVAL_MS);
         }
-        counts.take(now, event, effects);
+        counts.record(now, event, effects);
     })?;
     let end_s = texts.last().map_or(0, |(at_s, _)| at_s + 1);
     texts.push((end_s, counts.text()));
