--- a/crates/hollywell/src/entry/duties.rs
+++ b/crates/hollywell/src/entry/duties.rs
@@ -113,7 +113,7 @@
                 return;
             }
             Next::Decide(window, counts) => {
-                let report = (shared.dialect.usage)(window, &counts);
+                let report = (shared.codec.usage)(window, &counts);
                 log::info!("usage of window {window} is decided: {} organisations", counts.len());
                 write(shared, vec![usage::decision(window, report)], end).await
             }
@@ -152,7 +152,7 @@
         shared.meters.reports.with_label_values(&[label]).inc();
         match status {
             Ok(StatusCode::OK) => {
-                shared.meters.reported.set(i64::try_from(window).unwrap_or(i64::MAX));
+                shared.meters.reported_window.set(i64::try_from(window).unwrap_or(i64::MAX));
                 write(shared, usage::reported(window), end).await
             }
             // A holder of a later grant was there first.
@@ -171,8 +171,8 @@
         body: Bytes,
     ) -> Result<StatusCode, String> {
         let address = self.duties.address;
-        let names = &shared.dialect.headers;
-        let request = Request::post(shared.dialect.usage_path)
+        let names = &shared.codec.headers;
+        let request = Request::post(shared.codec.usage_path)
             .header(http::header::HOST, address.to_string())
             .header(http::header::CONTENT_TYPE, "application/json")
             .header(&names.holder, shared.settings.name.as_str())
@@ -182,7 +182,7 @@
         let answer =
             shared.pool.send(address, request, CALL).await.map_err(|error| error.to_string())?;
         let status = answer.head.status;
-        answer.whole(ANSWER_BYTES, CALL).await.map_err(|error| error.to_string())?;
+        answer.read_body(ANSWER_BYTES, CALL).await.map_err(|error| error.to_string())?;
         Ok(status)
     }
 }
--- a/crates/hollywell/src/entry/run.rs
+++ b/crates/hollywell/src/entry/run.rs
@@ -18,9 +18,9 @@
         poison::{Digest, Verdict},
     },
     entry::{
-        dialect::Piece,
-        exchange::{Answer, Error},
-        lines::Cutter,
+        codec::Chunk,
+        exchange::{Error, IncomingResponse},
+        lines::EventSplitter,
         samples,
         shared::Shared,
         suspects::{self, Trial},
@@ -33,9 +33,9 @@
 
 /// What has come of a sample's text.
 #[derive(Clone, Debug, Default)]
-pub struct Text {
+pub struct GeneratedText {
     /// Number of the last whole event; 0 before the first.
-    pub last: u64,
+    pub last_event: u64,
     /// The data of all events, separated by line feeds.
     pub data: String,
     /// All versions that generated an event.
@@ -43,22 +43,22 @@
     /// The signature of its score, once there is one.
     pub score: Option<String>,
     /// Number of the last event that the store has.
-    pub saved: u64,
+    pub saved_event: u64,
     /// Where the store has the data up to it, and how many bytes that is.
-    pub kept: Vec<TextRef>,
-    /// See `kept`.
-    pub kept_bytes: usize,
+    pub stored: Vec<TextRef>,
+    /// See `stored`.
+    pub stored_bytes: usize,
     /// Tells this text from another one of the same sample, begun anew.
     pub identity: Rc<()>,
 }
 
-impl Text {
-    fn take(&mut self, piece: &Piece, version: u64) {
-        if self.last > 0 {
+impl GeneratedText {
+    fn take(&mut self, piece: &Chunk, version: u64) {
+        if self.last_event > 0 {
             self.data.push('\n');
         }
         self.data.push_str(&piece.data);
-        self.last = piece.id;
+        self.last_event = piece.id;
         self.versions.insert(version);
     }
 }
@@ -80,7 +80,8 @@
         let shared = shared.clone();
         async move {
             let end = go(&shared, run, &slot, &said, priority).await;
-            let events = || shared.world.borrow().texts.get(&slot).map_or(0, |text| text.last);
+            let events =
+                || shared.world.borrow().texts.get(&slot).map_or(0, |text| text.last_event);
             let (job, at, id) = (&slot.job, slot.at, &said.id);
             log::debug!("sample {job}/{at} at {id}: {end:?}, {} events", events());
             shared.meters.runs.with_label_values(&[&format!("{end:?}")]).inc();
@@ -112,17 +113,17 @@
         return;
     };
     let mut world = shared.world.borrow_mut();
-    let known = world.texts.get(slot).map_or(0, |text| text.last);
+    let known = world.texts.get(slot).map_or(0, |text| text.last_event);
     if partial.last > known {
         // What an earlier job kept goes with that job, and is kept anew.
         let own = partial.is_of(&slot.job);
-        let text = Text {
-            last: partial.last,
+        let text = GeneratedText {
+            last_event: partial.last,
             versions: partial.versions.into_iter().collect(),
             score: None,
-            saved: if own { partial.last } else { 0 },
-            kept_bytes: if own { data.len() } else { 0 },
-            kept: if own { partial.texts } else { vec![] },
+            saved_event: if own { partial.last } else { 0 },
+            stored_bytes: if own { data.len() } else { 0 },
+            stored: if own { partial.texts } else { vec![] },
             data,
             identity: Rc::default(),
         };
@@ -135,7 +136,7 @@
     let world = shared.world.borrow();
     let job = world.shelves[part].book.jobs.get(&slot.job)?;
     let partial = job.partials.get(&slot.at)?;
-    let known = world.texts.get(slot).map_or(0, |text| text.last);
+    let known = world.texts.get(slot).map_or(0, |text| text.last_event);
     let allowed = partial.is_allowed(job.head.min_version);
     (partial.last > known && allowed).then(|| partial.clone())
 }
@@ -162,10 +163,10 @@
         Verdict::Held(_) => true,
     };
     if held {
-        shared.meters.held.inc();
+        shared.meters.held_back.inc();
         return End::Held;
     }
-    let last_event = || shared.world.borrow().texts.get(slot).map_or(0, |text| text.last);
+    let last_event = || shared.world.borrow().texts.get(slot).map_or(0, |text| text.last_event);
     let before = last_event();
     let end = exchange(shared, run, slot, target, digest, request).await;
     // A sample that has got further is none that ends its targets.
@@ -196,15 +197,15 @@
     let sent = shared.pool.send_if(target.address, request, RUN_LIMIT, wanted).await;
     let answer = match sent {
         Ok(answer) => answer,
-        Err(Error::Unwanted) => return End::Unready,
-        Err(Error::Stale) => return End::Stale,
+        Err(Error::Cancelled) => return End::Unready,
+        Err(Error::StaleConnection) => return End::Stale,
         Err(error) => {
             log::info!("sample {}/{} at {}: {error}", slot.job, slot.at, target.id);
             return if error.is_not_sent() { End::Unreached } else { End::Broken };
         }
     };
-    let headers = &shared.dialect.headers;
-    if let Some(load) = answer.header(&headers.load).and_then(shared.dialect.load) {
+    let headers = &shared.codec.headers;
+    if let Some(load) = answer.header(&headers.load).and_then(shared.codec.load) {
         let now = shared.now();
         shared.world.borrow_mut().sights.load(now, &target.id, load);
     }
@@ -230,7 +231,7 @@
 ) -> Option<Request<Full<Bytes>>> {
     let world = shared.world.borrow();
     let job = world.shelves[shared.part_of(&slot.job)].book.jobs.get(&slot.job)?;
-    let headers = &shared.dialect.headers;
+    let headers = &shared.codec.headers;
     let mut request = Request::post(sample.path.as_str())
         .header(http::header::HOST, job.head.host.as_str())
         .header(&headers.request_id, sample.id.as_str())
@@ -242,7 +243,7 @@
     for header in &sample.headers {
         request = request.header(header.name.as_str(), header.value.as_str());
     }
-    let last = world.texts.get(slot).map_or(0, |text| text.last);
+    let last = world.texts.get(slot).map_or(0, |text| text.last_event);
     if last > 0 {
         request = request.header(&headers.last_event, HeaderValue::from(last));
     }
@@ -280,7 +281,7 @@
     /// that made the event before.
     fn take(&self, event: &[u8], version: &mut Option<u64>) -> Result<(), End> {
         let text = std::str::from_utf8(event).map_err(|error| self.broken(&error))?;
-        let piece = (self.shared.dialect.piece)(text).map_err(|why| self.broken(&why))?;
+        let piece = (self.shared.codec.chunk)(text).map_err(|why| self.broken(&why))?;
         if let Some(newer) = piece.version {
             *version = Some(newer);
             self.saw(newer);
@@ -294,8 +295,8 @@
         {
             let mut world = self.shared.world.borrow_mut();
             let text = world.texts.entry(self.slot.clone()).or_default();
-            if piece.id != text.last + 1 {
-                return Err(self.broken(&format!("event {} after {}", piece.id, text.last)));
+            if piece.id != text.last_event + 1 {
+                return Err(self.broken(&format!("event {} after {}", piece.id, text.last_event)));
             }
             text.take(&piece, version);
         }
@@ -311,7 +312,7 @@
     slot: &Slot,
     target: &Announcement,
     digest: Digest,
-    answer: Answer,
+    answer: IncomingResponse,
 ) -> End {
     let context = {
         let world = shared.world.borrow();
@@ -329,8 +330,8 @@
 }
 
 /// Takes events in until the answer ends.
-async fn events(context: &Context<'_>, mut answer: Answer) -> Result<(), End> {
-    let headers = &context.shared.dialect.headers;
+async fn events(context: &Context<'_>, mut answer: IncomingResponse) -> Result<(), End> {
+    let headers = &context.shared.codec.headers;
     if answer.header(&headers.request_id) != Some(context.id.as_str()) {
         return Err(context.broken(&"another request's answer"));
     }
@@ -344,14 +345,14 @@
         return Err(End::WrongVersion);
     }
     context.shared.tell(&Event::Head { run: context.run });
-    let mut cutter = Cutter::default();
+    let mut splitter = EventSplitter::default();
     while let Some(data) = answer.chunk().await.map_err(|error| context.broken(&error))? {
-        cutter.push(&data);
-        while let Some(event) = cutter.next() {
+        splitter.push(&data);
+        while let Some(event) = splitter.next_event() {
             context.take(&event, &mut version)?;
         }
     }
-    if !cutter.is_empty() {
+    if !splitter.is_empty() {
         return Err(context.broken(&"ends within an event"));
     }
     let world = context.shared.world.borrow();
--- a/crates/hollywell/src/entry/serve.rs
+++ b/crates/hollywell/src/entry/serve.rs
@@ -24,13 +24,13 @@
     },
     entry::{
         self, clean,
-        dialect::Dialect,
-        duties, ends,
+        codec::Codec,
+        configuration, duties, ends,
         exchange::Pool,
         feed::Feed,
         follow, ingress, member,
         meters::Meters,
-        news, orders, outbox, peers, plans,
+        news, orders, outbox, peers,
         reader::Reader,
         relay::Relay,
         reload,
@@ -38,7 +38,7 @@
         shared::{JOB_PARTS, Shared, Shelf, World},
         store::Client,
         suspects,
-        texts::Texts,
+        texts::TextCache,
         usage,
     },
 };
@@ -64,7 +64,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Adapter {
     /// How the platform spells things.
-    pub dialect: fn() -> Dialect,
+    pub codec: fn() -> Codec,
     /// The store's client, over the given connections.
     pub store: fn(Rc<Pool>, &Store) -> Client,
     /// Where the platform put the settings file.
@@ -121,7 +121,7 @@
     let store = (adapter.store)(pool.clone(), &settings.store);
     Ok(Rc::new(Shared {
         meters: Meters::new()?,
-        dialect: (adapter.dialect)(),
+        codec: (adapter.codec)(),
         reader: Reader::new(store.clone()),
         feed: Feed::default(),
         relay: Relay::default(),
@@ -139,7 +139,7 @@
         readers: (0..parts).map(|_| Cell::new(0)).collect(),
         listed: (0..parts).map(|_| Notify::new()).collect(),
         outbox: (0..parts).map(|_| outbox::Outbox::default()).collect(),
-        texts: Texts::default(),
+        texts: TextCache::default(),
         turns: RefCell::default(),
         usage: usage::Usage::default(),
         unsaved: suspects::Unsaved::default(),
@@ -161,12 +161,12 @@
     let metrics = TcpListener::bind(settings.metrics_listen).await?;
     let peer_listener = TcpListener::bind(settings.peer_listen).await?;
     log::info!("{} listens on {}, settings {}", shared.me, settings.listen, path.display());
-    let open = Rc::new(ingress::Open::default());
+    let open = Rc::new(ingress::OpenRequests::default());
     let spawn = tokio::task::spawn_local::<std::pin::Pin<Box<dyn Future<Output = ()>>>>;
     // In the order in which they are read from the store at a start: what is
     // small and needed for every request before the jobs.
-    spawn(Box::pin(follow::wishes(shared.clone())));
-    spawn(Box::pin(plans::serve(shared.clone())));
+    spawn(Box::pin(follow::commands(shared.clone())));
+    spawn(Box::pin(configuration::serve(shared.clone())));
     spawn(Box::pin(follow::fleet(shared.clone())));
     spawn(Box::pin(news::serve(shared.clone())));
     spawn(Box::pin(suspects::serve(shared.clone())));
@@ -194,7 +194,7 @@
     Ok(())
 }
 
-async fn stop(shared: &Rc<Shared>, open: &ingress::Open) {
+async fn stop(shared: &Rc<Shared>, open: &ingress::OpenRequests) {
     log::info!("stopping: {} requests open", open.count());
     let end = tokio::time::Instant::now() + shared.settings.times.grace.mul_f64(GRACE_SHARE);
     {
