--- a/crates/hollywell/src/entry/ingress.rs
+++ b/crates/hollywell/src/entry/ingress.rs
@@ -19,7 +19,7 @@
 
 use crate::{
     core::{
-        plan::{Plan, Repeat, Route},
+        configuration::{Configuration, Route, RouteKind},
         time::Time,
     },
     entry::{
@@ -99,15 +99,15 @@
         log::debug!("a connection: {error}");
     }
     let idle_ms = {
-        let world = shared.world.borrow();
-        world.plan.as_ref().map_or(IDLE_MS, |plan| plan.idle_ms.max(plan.header_ms))
+        let control = shared.control.borrow();
+        control.configuration.as_ref().map_or(IDLE_MS, |plan| plan.idle_ms.max(plan.header_ms))
     };
     let service = service_fn(|request| {
         let (shared, open) = (shared.clone(), open.clone());
         async move {
             let _entered = OpenRequestGuard::new(&open);
             let mut response = answer(&shared, request).await;
-            if shared.world.borrow().stopping {
+            if shared.control.borrow().stopping {
                 let close = HeaderValue::from_static("close");
                 response.headers_mut().insert(header::CONNECTION, close);
             }
@@ -193,14 +193,14 @@
 /// Whether this instance takes callers.
 #[must_use]
 pub fn is_ready(shared: &Shared) -> bool {
-    let world = shared.world.borrow();
-    let loaded = world.shelves.iter().all(|shelf| shelf.loaded);
-    !world.stopping
+    let control = shared.control.borrow();
+    let loaded = control.partitions.iter().all(|partition| partition.loaded);
+    !control.stopping
         && loaded
-        && world.plan.is_some()
-        && world.poison_known
-        && world.fleet_known
-        && !world.fleet.store_away
+        && control.configuration.is_some()
+        && control.poison_loaded
+        && control.fleet_loaded
+        && !control.fleet.store_unavailable
 }
 
 /// All meters as text.
@@ -209,11 +209,11 @@
     let meters = &shared.meters;
     let gauge = |value: usize| i64::try_from(value).unwrap_or(i64::MAX);
     {
-        let world = shared.world.borrow();
-        let plan = world.plan.as_ref().map_or(0, |plan| plan.version);
+        let control = shared.control.borrow();
+        let plan = control.configuration.as_ref().map_or(0, |plan| plan.version);
         meters.configuration_version.set(i64::try_from(plan).unwrap_or(i64::MAX));
-        meters.members.set(gauge(world.roster.members().len()));
-        meters.in_flight.set(gauge(world.dispatch.in_flight()));
+        meters.members.set(gauge(control.roster.members().len()));
+        meters.in_flight.set(gauge(control.dispatch.in_flight()));
     }
     meters.connections_opened.set(i64::try_from(shared.pool.opened.get()).unwrap_or(i64::MAX));
     meters.ready.set(i64::from(is_ready(shared)));
@@ -237,9 +237,9 @@
 
 /// The configuration, once it is known, and what is known against requests
 /// with it: an instance that starts must not end targets that others spare.
-fn known_plan(shared: &Shared) -> Option<Rc<Plan>> {
-    let world = shared.world.borrow();
-    world.plan.clone().filter(|_| world.poison_known)
+fn known_plan(shared: &Shared) -> Option<Rc<Configuration>> {
+    let control = shared.control.borrow();
+    control.configuration.clone().filter(|_| control.poison_loaded)
 }
 
 async fn routed(shared: &Rc<Shared>, request: Request<Incoming>, arrived: Time) -> HttpResponse {
@@ -252,7 +252,7 @@
             Err(kind) => return refuse(shared, kind),
         };
     let Some(plan) = known_plan(shared) else {
-        return refuse(shared, Kind::StoreAway);
+        return refuse(shared, Kind::StoreUnavailable);
     };
     let names = &shared.codec.headers;
     if plan.organisations.is_some() {
@@ -273,7 +273,7 @@
     let Some(id) = id.map(str::to_owned) else {
         return refuse(shared, Kind::Malformed);
     };
-    if route.repeat == Repeat::Batch {
+    if route.kind == RouteKind::Batch {
         return submit(shared, &caller, &id, &host, head.uri.path(), &body).await;
     }
     let timeout_ms = if route.timeout_ms == 0 { DEADLINE_MS } else { route.timeout_ms };
@@ -296,7 +296,7 @@
 
 async fn forwarded(
     shared: &Rc<Shared>,
-    plan: &Plan,
+    plan: &Configuration,
     route: &Route,
     plain: &PlainRequest,
 ) -> HttpResponse {
@@ -336,7 +336,7 @@
     };
     if *caller != Caller::Unrestricted {
         let own = [header::AUTHORIZATION.as_str(), shared.codec.headers.organisation.as_str()];
-        decoded.drop_headers(&own);
+        decoded.remove_headers(&own);
     }
     let done = jobs::submit(shared, caller, id, host, path, &decoded).await;
     let accepted = done == JobReply::Done;
@@ -351,7 +351,7 @@
     match reply {
         JobReply::Done => Response::new(Full::default()),
         JobReply::Body(body) => Response::new(Full::new(body)),
-        JobReply::Rejected | JobReply::Unavailable => refuse(shared, Kind::StoreAway),
+        JobReply::Rejected | JobReply::Unavailable => refuse(shared, Kind::StoreUnavailable),
         JobReply::StoreFull(ms) => come_back(refuse(shared, Kind::StoreFull), ms),
         JobReply::OutcomeUnknown => refuse(shared, Kind::OutcomeUnknown),
         JobReply::NotFound => refuse(shared, Kind::NoRoute),
--- a/crates/hollywell/src/entry/jobs.rs
+++ b/crates/hollywell/src/entry/jobs.rs
@@ -16,19 +16,20 @@
 
 use crate::{
     core::{
-        batch::{self, Head, Outcome, Sample, Submission, TextRef},
+        batch::{self, Manifest, Outcome, Sample, Submission, TextRef},
+        capacity::Purpose,
         dispatch::{Event, Slot},
-        room::Use,
     },
     entry::{
         caller::Caller,
+        capacity,
         codec::{Delivered, Results},
         ends,
         forward::{self, ForwardResult, PlainRequest},
-        news::{self, News},
-        room, samples,
-        shared::{JOBS, Shared, wall_ms},
-        store::{Append, Fault, Part, Read},
+        hints::{self, Hint},
+        samples,
+        shared::{JOBS, Shared, unix_ms},
+        store::{Append, Partition, Read, StoreError},
         texts, unstarted,
     },
     error::Kind,
@@ -91,14 +92,14 @@
     path: &str,
     decoded: &Submission,
 ) -> JobReply {
-    let part = shared.part_of(job);
+    let part = shared.partition_of(job);
     if let Some(reply) = accepted(shared, caller, part, job) {
         return reply;
     }
     if !batch::is_id(job) || decoded.samples.iter().any(|sample| !batch::is_id(&sample.id)) {
         return JobReply::Malformed(format!(
             "ids have 1 to {} bytes, none of them '|'",
-            batch::MAX_ID
+            batch::MAX_ID_LEN
         ));
     }
     // Another instance may just have accepted it. Where that cannot be read,
@@ -108,26 +109,26 @@
         return reply;
     }
     log::debug!("job {job} is new here, partition {part} read to its end: {current}");
-    if let Err(come_back_ms) = room::admit(shared, decoded) {
+    if let Err(come_back_ms) = capacity::admit(shared, decoded) {
         return no_room(shared, job, come_back_ms);
     }
     // The samples first: until the head is there, nothing is kept and nothing
     // runs, whatever became of this append.
     let (samples, bundles) = match samples::put(shared, job, decoded).await {
         Ok(put) => put,
-        Err(Fault::Full) => return no_room(shared, job, FULL_MS),
+        Err(StoreError::Full) => return no_room(shared, job, FULL_MS),
         Err(fault) => {
-            if fault.is_not_done() {
+            if fault.is_not_applied() {
                 shared.orphans.refused(shared.now(), job);
             }
             log::info!("job {job} refused, its samples: {fault}");
             return JobReply::Rejected;
         }
     };
-    let head = Head {
+    let head = Manifest {
         host: host.to_owned(),
         path: path.to_owned(),
-        at_ms: wall_ms(),
+        at_ms: unix_ms(),
         step: decoded.step,
         model: decoded.model.clone(),
         min_version: decoded.min_version,
@@ -136,7 +137,7 @@
         bundles,
         organisation: caller.organisation().to_owned(),
     };
-    let (key, value) = batch::head_record(job, &head);
+    let (key, value) = batch::manifest_record(job, &head);
     let most = shared.settings.store.record_bytes;
     if key.len() + value.len() >= most {
         return JobReply::Malformed(format!("{} bytes of a job's head exceed {most}", value.len()));
@@ -150,7 +151,7 @@
         tokio::task::spawn_local(unstarted::watch(shared.clone(), part, job.to_owned()));
         let shared = shared.clone();
         tokio::task::spawn_local(async move {
-            news::tell(&shared, &News::Accepted { part }).await;
+            hints::publish(&shared, &Hint::Accepted { part }).await;
         });
     }
     kept
@@ -172,15 +173,15 @@
     there: impl Fn(&Shared) -> bool,
 ) -> JobReply {
     let records = vec![(Some(key), value)];
-    let (at, purpose) = (Part::at(JOBS, part), Use::Head);
+    let (at, purpose) = (Partition::at(JOBS, part), Purpose::Manifest);
     let append = Append { part: at, records, expected_end: None, purpose };
     match shared.append(append).await {
         Ok(_) => {
             log::info!("{what} accepted");
             JobReply::Done
         }
-        Err(Fault::Full) => JobReply::StoreFull(FULL_MS),
-        Err(fault) if fault.is_not_done() => {
+        Err(StoreError::Full) => JobReply::StoreFull(FULL_MS),
+        Err(fault) if fault.is_not_applied() => {
             log::info!("{what} refused: {fault}");
             JobReply::Rejected
         }
@@ -192,13 +193,13 @@
 }
 
 fn known(shared: &Shared, part: usize, job: &str) -> bool {
-    shared.world.borrow().shelves[part].book.jobs.contains_key(job)
+    shared.control.borrow().partitions[part].index.jobs.contains_key(job)
 }
 
 /// Whether a job is known that the caller may see.
 fn is_seen(shared: &Shared, caller: &Caller, part: usize, job: &str) -> bool {
-    let world = shared.world.borrow();
-    let head = world.shelves[part].book.jobs.get(job).map(|job| &job.head);
+    let control = shared.control.borrow();
+    let head = control.partitions[part].index.jobs.get(job).map(|job| &job.manifest);
     head.is_some_and(|head| caller.may_see(&head.organisation))
 }
 
@@ -229,25 +230,26 @@
 pub async fn catch_up(shared: &Rc<Shared>, part: usize) -> bool {
     loop {
         let (from, loaded) = {
-            let world = shared.world.borrow();
-            (world.shelves[part].next, world.shelves[part].loaded)
+            let control = shared.control.borrow();
+            (control.partitions[part].next, control.partitions[part].loaded)
         };
         if !loaded {
             return false;
         }
-        let read = Read { part: Part::at(JOBS, part), from, wait: Duration::ZERO, most_kb: None };
+        let read =
+            Read { part: Partition::at(JOBS, part), from, wait: Duration::ZERO, max_kb: None };
         match shared.reader.read(read).await {
             Ok(records) => {
-                shared.store_did(true);
-                shared.absorb(part, &records.records, 0);
-                if shared.world.borrow().shelves[part].next >= records.end {
+                shared.record_store_result(true);
+                shared.apply_records(part, &records.records, 0);
+                if shared.control.borrow().partitions[part].next >= records.end {
                     return true;
                 }
             }
             // The follower starts over by itself.
-            Err(Fault::Gone(_)) => return false,
+            Err(StoreError::Trimmed(_)) => return false,
             Err(fault) => {
-                shared.store_did(false);
+                shared.record_store_result(false);
                 log::info!("catching up with {JOBS}/{part}: {fault}");
                 return false;
             }
@@ -256,7 +258,7 @@
 }
 
 /// Reads a job's results from a position on, waiting for `hold` at most for
-/// those that are worth an answer ([`batch::Job::is_worth_reading`]).
+/// those that are worth an answer ([`batch::Job::is_worth_answering`]).
 ///
 /// Trainers wait for a number of whole groups, and come back half a second
 /// after each answer. With an answer at the first result, the last one that a
@@ -268,13 +270,13 @@
     after: usize,
     hold: Duration,
 ) -> JobReply {
-    let part = shared.part_of(job);
+    let part = shared.partition_of(job);
     let until = Instant::now() + hold;
     let listed = |shared: &Shared| {
-        let world = shared.world.borrow();
-        let job = world.shelves[part].book.jobs.get(job)?;
-        let due = job.is_worth_reading(after) || after >= job.done.len();
-        Some((job.listed.len(), due))
+        let control = shared.control.borrow();
+        let job = control.partitions[part].index.jobs.get(job)?;
+        let due = job.is_worth_answering(after) || after >= job.done.len();
+        Some((job.results.len(), due))
     };
     // A position beyond the fold was read elsewhere, or never existed.
     if listed(shared).is_none_or(|(len, _)| len < after) && !catch_up(shared, part).await {
@@ -285,7 +287,7 @@
     }
     let _waits = Waits::new(shared, part);
     loop {
-        let notified = shared.listed[part].notified();
+        let notified = shared.partition_changed[part].notified();
         let Some((len, due)) = listed(shared) else {
             return JobReply::NotFound;
         };
@@ -313,7 +315,7 @@
 
 impl Waits {
     fn new(shared: &Rc<Shared>, part: usize) -> Waits {
-        let readers = &shared.readers[part];
+        let readers = &shared.result_waiters[part];
         readers.set(readers.get() + 1);
         Waits { shared: shared.clone(), part }
     }
@@ -321,7 +323,7 @@
 
 impl Drop for Waits {
     fn drop(&mut self) {
-        let readers = &self.shared.readers[self.part];
+        let readers = &self.shared.result_waiters[self.part];
         readers.set(readers.get() - 1);
     }
 }
@@ -355,11 +357,11 @@
     job: &str,
     after: usize,
 ) -> Option<(usize, Vec<Outcome>)> {
-    let world = shared.world.borrow();
-    let job = world.shelves[part].book.jobs.get(job)?;
+    let control = shared.control.borrow();
+    let job = control.partitions[part].index.jobs.get(job)?;
     let mut outcomes: Vec<Outcome> = Vec::new();
     let mut bytes = 0;
-    for listed in job.listed.iter().skip(after) {
+    for listed in job.results.iter().skip(after) {
         let outcome: Outcome = match Outcome::decode(listed.value.clone()) {
             Ok(outcome) => outcome,
             Err(error) => {
@@ -383,7 +385,7 @@
     job: &str,
     sample: &str,
 ) -> JobReply {
-    let part = shared.part_of(job);
+    let part = shared.partition_of(job);
     if !known(shared, part, job) && !catch_up(shared, part).await {
         return JobReply::Unavailable;
     }
@@ -391,8 +393,8 @@
         return JobReply::NotFound;
     }
     let at = {
-        let world = shared.world.borrow();
-        let found = world.shelves[part].book.jobs.get(job);
+        let control = shared.control.borrow();
+        let found = control.partitions[part].index.jobs.get(job);
         found.and_then(|job| job.index.get(sample).copied().filter(|at| !job.done[*at]))
     };
     let Some(at) = at else {
@@ -411,32 +413,32 @@
     if !batch::is_id(job) {
         return JobReply::NotFound;
     }
-    let part = shared.part_of(job);
+    let part = shared.partition_of(job);
     let current = known(shared, part, job) || catch_up(shared, part).await;
     if known(shared, part, job) && !is_seen(shared, caller, part, job) {
         return JobReply::NotFound;
     }
     let ended = {
-        let world = shared.world.borrow();
-        world.shelves[part].book.jobs.get(job).map(|job| job.ended)
+        let control = shared.control.borrow();
+        control.partitions[part].index.jobs.get(job).map(|job| job.ended)
     };
     match ended {
         None if current => {
-            ends::leave(shared, job);
+            ends::store_early_end(shared, job);
             JobReply::NotFound
         }
         Some(true) => JobReply::Done,
-        known => ends::ask(shared, job, known.is_some()).await,
+        known => ends::end_job(shared, job, known.is_some()).await,
     }
 }
 
 /// Sends a finished sample's scoring request until it is scored or has
 /// failed for good.
 pub async fn score(shared: Rc<Shared>, slot: Slot) {
-    let part = shared.part_of(&slot.job);
+    let part = shared.partition_of(&slot.job);
     let (mut failures, mut tries) = (0, 0);
     loop {
-        let wanted = shared.world.borrow().wants(part, &slot);
+        let wanted = shared.control.borrow().is_sample_open(part, &slot);
         if !wanted {
             return;
         }
@@ -445,10 +447,10 @@
             continue;
         };
         let Some(scorer) = scorer else {
-            shared.tell(&Event::Scored(slot));
+            shared.handle_event(&Event::Scored(slot));
             return;
         };
-        let plan = shared.world.borrow().plan.clone();
+        let plan = shared.control.borrow().configuration.clone();
         let route = plan.as_ref().and_then(|plan| plan.route(&scorer.host, &scorer.path));
         let Some(mut route) = route.cloned() else {
             sleep(SCORE_PAUSE).await;
@@ -478,10 +480,10 @@
         match forward::run(&shared, &route, &plain, tries).await {
             ForwardResult::Answered(answer) if answer.status.is_success() => {
                 let signature = answer.signature(&shared.codec.headers.signature);
-                if let Some(text) = shared.world.borrow_mut().texts.get_mut(&slot) {
+                if let Some(text) = shared.control.borrow_mut().partial_texts.get_mut(&slot) {
                     text.score = signature;
                 }
-                shared.tell(&Event::Scored(slot));
+                shared.handle_event(&Event::Scored(slot));
                 return;
             }
             ForwardResult::Answered(answer) => {
@@ -504,7 +506,7 @@
         }
         if failures >= most {
             log::info!("scoring {}/{} failed {failures} times", slot.job, slot.at);
-            shared.tell(&Event::Unscored(slot));
+            shared.handle_event(&Event::Unscored(slot));
             return;
         }
         sleep(pause).await;
--- a/crates/hollywell/src/entry/mod.rs
+++ b/crates/hollywell/src/entry/mod.rs
@@ -4,7 +4,7 @@
 //! and a [`store::Client`], both plain structs of closures that an adapter
 //! fills in; nothing here knows how anything is spelled. Decisions are taken
 //! in [`crate::core`]: [`crate::core::dispatch`] (what runs where),
-//! [`crate::core::batch`] (what is listed), [`crate::core::roll`] (weights).
+//! [`crate::core::batch`] (what is listed), [`crate::core::weight_loading`] (weights).
 //! Modules here carry those decisions out.
 //!
 //! Everything runs on one thread, control state and traffic alike. The
@@ -13,7 +13,7 @@
 //! and wake-ups are what such a machine pays for.
 
 pub mod caller;
-pub mod clean;
+pub mod capacity;
 pub mod codec;
 pub mod configuration;
 pub mod duties;
@@ -22,13 +22,14 @@
 pub mod feed;
 pub mod follow;
 pub mod forward;
+pub mod garbage;
+pub mod hints;
 pub mod ingress;
 pub mod jobs;
 pub mod lease;
 pub mod lines;
 pub mod member;
 pub mod meters;
-pub mod news;
 pub mod orders;
 pub mod outbox;
 pub mod peers;
@@ -36,7 +37,6 @@
 pub mod relay;
 pub mod reload;
 pub mod resume;
-pub mod room;
 pub mod run;
 pub mod samples;
 pub mod serve;
--- a/crates/hollywell/src/entry/outbox.rs
+++ b/crates/hollywell/src/entry/outbox.rs
@@ -18,13 +18,13 @@
 use crate::{
     core::{
         batch::{self, Outcome, Partial, TextRef},
+        capacity::Purpose,
         dispatch::Slot,
-        room::Use,
     },
     entry::{
         run::GeneratedText,
         shared::{JOBS, Shared, TEXTS},
-        store::{Append, Fault, Part},
+        store::{Append, Partition, StoreError},
     },
 };
 
@@ -62,17 +62,17 @@
 
 /// Queues a sample's result for the store.
 pub fn deliver(shared: &Rc<Shared>, slot: &Slot, dead: bool) {
-    let part = shared.part_of(&slot.job);
+    let part = shared.partition_of(&slot.job);
     {
-        let mut world = shared.world.borrow_mut();
-        let text = world.texts.remove(slot).unwrap_or_default();
-        let Some(job) = world.shelves[part].book.jobs.get(&slot.job) else {
+        let mut control = shared.control.borrow_mut();
+        let text = control.partial_texts.remove(slot).unwrap_or_default();
+        let Some(job) = control.partitions[part].index.jobs.get(&slot.job) else {
             return;
         };
-        let id = job.head.samples[slot.at].id.clone();
+        let id = job.manifest.samples[slot.at].id.clone();
         let versions = if dead { vec![] } else { text.versions.into_iter().collect() };
         let score = text.score.filter(|_| !dead);
-        let outcome = Outcome { id, dead, text: None, versions, score };
+        let outcome = Outcome { id, abandoned: dead, text: None, versions, score };
         let text = (!dead).then(|| Bytes::from(text.data));
         let entry = Entry { slot: slot.clone(), outcome, text };
         shared.outbox[part].queue.borrow_mut().push_back(entry);
@@ -96,54 +96,62 @@
         if let Err(fault) = appended {
             log::info!("{} results kept for another append: {fault}", taken.len());
             put_back(&shared.outbox[part], taken);
-            sleep(if fault == Fault::Full { FULL_PAUSE } else { APPEND_PAUSE }).await;
+            sleep(if fault == StoreError::Full { FULL_PAUSE } else { APPEND_PAUSE }).await;
         }
     }
 }
 
-async fn append_texts(shared: &Rc<Shared>, part: usize, taken: &mut [Entry]) -> Result<(), Fault> {
+async fn append_texts(
+    shared: &Rc<Shared>,
+    part: usize,
+    taken: &mut [Entry],
+) -> Result<(), StoreError> {
     let mut waiting: Vec<&mut Entry> =
         taken.iter_mut().filter(|entry| entry.text.is_some()).collect();
     if waiting.is_empty() {
         return Ok(());
     }
     let record = |entry: &&mut Entry| {
-        let key = batch::text_key(&entry.slot.job, &shared.unique(), &entry.outcome.id);
+        let key = batch::text_key(&entry.slot.job, &shared.unique_key_part(), &entry.outcome.id);
         (key, entry.text.clone().unwrap_or_default())
     };
     let keyed: Vec<(String, Bytes)> = waiting.iter().map(record).collect();
     let records = keyed.iter().map(|(key, text)| (Some(key.clone()), text.clone())).collect();
-    let (at, purpose) = (Part::at(TEXTS, part), Use::Text);
+    let (at, purpose) = (Partition::at(TEXTS, part), Purpose::Text);
     let append = Append { part: at, records, expected_end: None, purpose };
     let appended = shared.append(append).await;
-    if matches!(appended, Err(Fault::Unknown(_))) {
+    if matches!(appended, Err(StoreError::OutcomeUnknown(_))) {
         let keys = keyed.iter().map(|(key, _)| key.clone());
         shared.orphans.texts(shared.now(), part, keys);
     }
     let first = appended?.offset;
     for ((entry, (key, text)), offset) in waiting.iter_mut().zip(keyed).zip(first..) {
         let at = TextRef::new(number(part), offset, key, &text);
-        shared.texts.insert(&at, text);
+        shared.text_cache.insert(&at, text);
         entry.outcome.text = Some(at);
         entry.text = None;
     }
     Ok(())
 }
 
-async fn append_results(shared: &Rc<Shared>, part: usize, taken: &[Entry]) -> Result<(), Fault> {
+async fn append_results(
+    shared: &Rc<Shared>,
+    part: usize,
+    taken: &[Entry],
+) -> Result<(), StoreError> {
     let mut records = Vec::new();
     for Entry { slot, outcome, .. } in taken {
         // A key of its own for each append: if one key were appended twice,
         // the store would keep only the later offset, and with it another
         // position.
-        let (key, value) = batch::outcome_record(&slot.job, &shared.unique(), outcome);
+        let (key, value) = batch::outcome_record(&slot.job, &shared.unique_key_part(), outcome);
         records.push((Some(key), value));
     }
-    let (at, purpose) = (Part::at(JOBS, part), Use::Outcome);
+    let (at, purpose) = (Partition::at(JOBS, part), Purpose::Outcome);
     let append = Append { part: at, records, expected_end: None, purpose };
     let appended = shared.append(append).await?;
     for (Entry { slot, outcome, .. }, offset) in taken.iter().zip(appended.offset..) {
-        let ending = if outcome.dead { "given up" } else { "whole" };
+        let ending = if outcome.abandoned { "given up" } else { "whole" };
         log::debug!("sample {}/{} is {ending}: record {offset} or after", slot.job, slot.at);
     }
     Ok(())
@@ -158,12 +166,12 @@
 
 /// The next results to append, without those that are listed meanwhile.
 fn take(shared: &Shared, part: usize) -> Vec<Entry> {
-    let world = shared.world.borrow();
+    let control = shared.control.borrow();
     let mut queue = shared.outbox[part].queue.borrow_mut();
     let mut taken = Vec::new();
     let mut bytes = 0;
     while let Some(entry) = queue.front() {
-        let job = world.shelves[part].book.jobs.get(&entry.slot.job);
+        let job = control.partitions[part].index.jobs.get(&entry.slot.job);
         if job.is_none_or(|job| job.done[entry.slot.at]) {
             queue.pop_front();
             continue;
@@ -205,9 +213,9 @@
                 continue;
             }
         };
-        let mut world = shared.world.borrow_mut();
+        let mut control = shared.control.borrow_mut();
         for (grown, kept) in grown.into_iter().zip(saved) {
-            let text = world.texts.get_mut(&grown.slot);
+            let text = control.partial_texts.get_mut(&grown.slot);
             // A text that was begun anew meanwhile has other data, and one
             // that was kept meanwhile, as a stopping instance does beside the
             // regular saves, goes on from there.
@@ -229,16 +237,17 @@
     shared: &Rc<Shared>,
     part: usize,
     grown: &[Grown],
-) -> Result<Vec<Vec<TextRef>>, Fault> {
-    let key =
-        |grown: &Grown| batch::partial_text_key(&grown.slot.job, &shared.unique(), &grown.sample);
+) -> Result<Vec<Vec<TextRef>>, StoreError> {
+    let key = |grown: &Grown| {
+        batch::partial_text_key(&grown.slot.job, &shared.unique_key_part(), &grown.sample)
+    };
     let keys: Vec<String> = grown.iter().map(key).collect();
     let records = keys.iter().zip(grown);
     let records = records.map(|(key, grown)| (Some(key.clone()), grown.piece.clone())).collect();
-    let (at, purpose) = (Part::at(TEXTS, part), Use::Unfinished);
+    let (at, purpose) = (Partition::at(TEXTS, part), Purpose::PartialText);
     let append = Append { part: at, records, expected_end: None, purpose };
     let appended = shared.append(append).await;
-    if matches!(appended, Err(Fault::Unknown(_))) {
+    if matches!(appended, Err(StoreError::OutcomeUnknown(_))) {
         shared.orphans.texts(shared.now(), part, keys.clone());
     }
     let first = appended?.offset;
@@ -253,26 +262,26 @@
         records.push((Some(key), value));
         kept.push(partial.texts);
     }
-    let at = Part::at(JOBS, part);
+    let at = Partition::at(JOBS, part);
     let append = Append { part: at, records, expected_end: None, purpose };
     let noted = shared.append(append).await;
-    if noted.as_ref().is_err_and(Fault::is_not_done) {
+    if noted.as_ref().is_err_and(StoreError::is_not_applied) {
         shared.orphans.texts(shared.now(), part, keys);
     }
     noted.map(|_| kept)
 }
 
 fn grown(shared: &Shared, part: usize, least: u64) -> Vec<Grown> {
-    let world = shared.world.borrow();
+    let control = shared.control.borrow();
     let store = &shared.settings.store;
     let mut grown = Vec::new();
     let mut bytes = 0;
-    for (slot, text) in &world.texts {
-        if shared.part_of(&slot.job) != part || text.last_event < text.saved_event + least {
+    for (slot, text) in &control.partial_texts {
+        if shared.partition_of(&slot.job) != part || text.last_event < text.saved_event + least {
             continue;
         }
-        let job = world.shelves[part].book.jobs.get(&slot.job);
-        let Some(job) = job.filter(|_| world.wants(part, slot)) else {
+        let job = control.partitions[part].index.jobs.get(&slot.job);
+        let Some(job) = job.filter(|_| control.is_sample_open(part, slot)) else {
             continue;
         };
         let piece = &text.data.as_bytes()[text.stored_bytes..];
@@ -286,7 +295,7 @@
         }
         grown.push(Grown {
             slot: slot.clone(),
-            sample: job.head.samples[slot.at].id.clone(),
+            sample: job.manifest.samples[slot.at].id.clone(),
             last: text.last_event,
             versions: text.versions.iter().copied().collect(),
             kept: text.stored.clone(),
--- a/crates/hollywell/src/entry/run.rs
+++ b/crates/hollywell/src/entry/run.rs
@@ -23,7 +23,7 @@
         lines::EventSplitter,
         samples,
         shared::Shared,
-        suspects::{self, Trial},
+        suspects::{self, ProbeTarget},
         texts,
     },
 };
@@ -66,13 +66,13 @@
 /// Starts a run as a task of its own.
 pub fn start(shared: &Rc<Shared>, run: Run, slot: Slot, target: &str, priority: u8) {
     let said = {
-        let world = shared.world.borrow();
-        world.fleet.targets.get(target).map(|target| target.said.clone())
+        let control = shared.control.borrow();
+        control.fleet.targets.get(target).map(|target| target.announcement.clone())
     };
     let Some(said) = said else {
         let shared = shared.clone();
         tokio::task::spawn_local(async move {
-            shared.tell(&Event::Ended { run, end: End::Misdirected });
+            shared.handle_event(&Event::Ended { run, end: End::Misdirected });
         });
         return;
     };
@@ -80,22 +80,23 @@
         let shared = shared.clone();
         async move {
             let end = go(&shared, run, &slot, &said, priority).await;
-            let events =
-                || shared.world.borrow().texts.get(&slot).map_or(0, |text| text.last_event);
+            let events = || {
+                shared.control.borrow().partial_texts.get(&slot).map_or(0, |text| text.last_event)
+            };
             let (job, at, id) = (&slot.job, slot.at, &said.id);
             log::debug!("sample {job}/{at} at {id}: {end:?}, {} events", events());
             shared.meters.runs.with_label_values(&[&format!("{end:?}")]).inc();
-            shared.world.borrow_mut().runs.remove(&run);
-            shared.tell(&Event::Ended { run, end });
+            shared.control.borrow_mut().runs.remove(&run);
+            shared.handle_event(&Event::Ended { run, end });
         }
     });
-    shared.world.borrow_mut().runs.insert(run, task.abort_handle());
+    shared.control.borrow_mut().runs.insert(run, task.abort_handle());
 }
 
 /// Takes over the text that another instance, or an earlier run of this one,
 /// left in the store, where it goes further than what is known here.
 async fn recall(shared: &Rc<Shared>, slot: &Slot) {
-    let part = shared.part_of(&slot.job);
+    let part = shared.partition_of(&slot.job);
     let Some(partial) = kept(shared, part, slot) else {
         return;
     };
@@ -112,11 +113,11 @@
         log::error!("unfinished text of {}/{} is not UTF-8", slot.job, slot.at);
         return;
     };
-    let mut world = shared.world.borrow_mut();
-    let known = world.texts.get(slot).map_or(0, |text| text.last_event);
+    let mut control = shared.control.borrow_mut();
+    let known = control.partial_texts.get(slot).map_or(0, |text| text.last_event);
     if partial.last > known {
         // What an earlier job kept goes with that job, and is kept anew.
-        let own = partial.is_of(&slot.job);
+        let own = partial.belongs_to(&slot.job);
         let text = GeneratedText {
             last_event: partial.last,
             versions: partial.versions.into_iter().collect(),
@@ -127,17 +128,17 @@
             data,
             identity: Rc::default(),
         };
-        world.texts.insert(slot.clone(), text);
+        control.partial_texts.insert(slot.clone(), text);
     }
 }
 
 /// What the store keeps of a sample's text, if that is of use here.
 fn kept(shared: &Shared, part: usize, slot: &Slot) -> Option<Partial> {
-    let world = shared.world.borrow();
-    let job = world.shelves[part].book.jobs.get(&slot.job)?;
+    let control = shared.control.borrow();
+    let job = control.partitions[part].index.jobs.get(&slot.job)?;
     let partial = job.partials.get(&slot.at)?;
-    let known = world.texts.get(slot).map_or(0, |text| text.last_event);
-    let allowed = partial.is_allowed(job.head.min_version);
+    let known = control.partial_texts.get(slot).map_or(0, |text| text.last_event);
+    let allowed = partial.is_allowed(job.manifest.min_version);
     (partial.last > known && allowed).then(|| partial.clone())
 }
 
@@ -159,19 +160,22 @@
     // Asked last: whoever ran it before may have told of it meanwhile.
     let held = match suspects::verdict(shared, || digest) {
         Verdict::Free => false,
-        Verdict::Suspect => suspects::trial(shared, &target.pool, digest) == Trial::Nowhere,
+        Verdict::Suspect => {
+            suspects::probe_target(shared, &target.pool, digest) == ProbeTarget::Nowhere
+        }
         Verdict::Held(_) => true,
     };
     if held {
         shared.meters.held_back.inc();
         return End::Held;
     }
-    let last_event = || shared.world.borrow().texts.get(slot).map_or(0, |text| text.last_event);
+    let last_event =
+        || shared.control.borrow().partial_texts.get(slot).map_or(0, |text| text.last_event);
     let before = last_event();
     let end = exchange(shared, run, slot, target, digest, request).await;
     // A sample that has got further is none that ends its targets.
     let may_have_ended = matches!(end, End::Broken | End::Stale) && last_event() == before;
-    if may_have_ended && suspects::look(shared, target, digest, false).await {
+    if may_have_ended && suspects::check_ended(shared, target, digest, false).await {
         return End::Broken;
     }
     end
@@ -179,9 +183,10 @@
 
 /// What a sample has in common with the same sample of another job.
 fn digest(shared: &Shared, slot: &Slot, sample: &Sample) -> Digest {
-    let world = shared.world.borrow();
-    let job = world.shelves[shared.part_of(&slot.job)].book.jobs.get(&slot.job);
-    let (host, organisation) = job.map_or(("", ""), |job| (&job.head.host, &job.head.organisation));
+    let control = shared.control.borrow();
+    let job = control.partitions[shared.partition_of(&slot.job)].index.jobs.get(&slot.job);
+    let (host, organisation) =
+        job.map_or(("", ""), |job| (&job.manifest.host, &job.manifest.organisation));
     Digest::of(&["POST", host, &sample.path, organisation], &sample.body)
 }
 
@@ -193,7 +198,7 @@
     digest: Digest,
     request: Request<Full<Bytes>>,
 ) -> End {
-    let wanted = || shared.may_send(slot) && shared.may_reach(target);
+    let wanted = || shared.may_send(slot) && shared.may_send_to(target);
     let sent = shared.pool.send_if(target.address, request, RUN_LIMIT, wanted).await;
     let answer = match sent {
         Ok(answer) => answer,
@@ -207,7 +212,7 @@
     let headers = &shared.codec.headers;
     if let Some(load) = answer.header(&headers.load).and_then(shared.codec.load) {
         let now = shared.now();
-        shared.world.borrow_mut().sights.load(now, &target.id, load);
+        shared.control.borrow_mut().observations.record_load(now, &target.id, load);
     }
     match answer.head.status {
         StatusCode::OK => stream(shared, run, slot, target, digest, answer).await,
@@ -229,21 +234,21 @@
     target: &Announcement,
     priority: u8,
 ) -> Option<Request<Full<Bytes>>> {
-    let world = shared.world.borrow();
-    let job = world.shelves[shared.part_of(&slot.job)].book.jobs.get(&slot.job)?;
+    let control = shared.control.borrow();
+    let job = control.partitions[shared.partition_of(&slot.job)].index.jobs.get(&slot.job)?;
     let headers = &shared.codec.headers;
     let mut request = Request::post(sample.path.as_str())
-        .header(http::header::HOST, job.head.host.as_str())
+        .header(http::header::HOST, job.manifest.host.as_str())
         .header(&headers.request_id, sample.id.as_str())
         .header(&headers.target, target.id.as_str())
         .header(&headers.priority, HeaderValue::from(u16::from(priority)));
-    if !job.head.organisation.is_empty() {
-        request = request.header(&headers.organisation, job.head.organisation.as_str());
+    if !job.manifest.organisation.is_empty() {
+        request = request.header(&headers.organisation, job.manifest.organisation.as_str());
     }
     for header in &sample.headers {
         request = request.header(header.name.as_str(), header.value.as_str());
     }
-    let last = world.texts.get(slot).map_or(0, |text| text.last_event);
+    let last = control.partial_texts.get(slot).map_or(0, |text| text.last_event);
     if last > 0 {
         request = request.header(&headers.last_event, HeaderValue::from(last));
     }
@@ -274,7 +279,7 @@
     /// Notes that the target has a version of the model.
     fn saw(&self, version: u64) {
         let Announcement { id, born, .. } = self.target;
-        self.shared.world.borrow_mut().fleet.answered(id, *born, &self.model, version);
+        self.shared.control.borrow_mut().fleet.record_version(id, *born, &self.model, version);
     }
 
     /// Takes one whole event into the sample's text. `version` is the one
@@ -293,15 +298,15 @@
             return Err(End::WrongVersion);
         }
         {
-            let mut world = self.shared.world.borrow_mut();
-            let text = world.texts.entry(self.slot.clone()).or_default();
+            let mut control = self.shared.control.borrow_mut();
+            let text = control.partial_texts.entry(self.slot.clone()).or_default();
             if piece.id != text.last_event + 1 {
                 return Err(self.broken(&format!("event {} after {}", piece.id, text.last_event)));
             }
             text.take(&piece, version);
         }
-        suspects::served(self.shared, || self.digest);
-        self.shared.tell(&Event::Piece { run: self.run });
+        suspects::record_served(self.shared, || self.digest);
+        self.shared.handle_event(&Event::StreamEvent { run: self.run });
         Ok(())
     }
 }
@@ -315,12 +320,14 @@
     answer: IncomingResponse,
 ) -> End {
     let context = {
-        let world = shared.world.borrow();
-        let Some(job) = world.shelves[shared.part_of(&slot.job)].book.jobs.get(&slot.job) else {
+        let control = shared.control.borrow();
+        let Some(job) =
+            control.partitions[shared.partition_of(&slot.job)].index.jobs.get(&slot.job)
+        else {
             return End::Broken;
         };
-        let (model, min_version) = (job.head.model.clone(), job.head.min_version);
-        let id = job.head.samples[slot.at].id.clone();
+        let (model, min_version) = (job.manifest.model.clone(), job.manifest.min_version);
+        let id = job.manifest.samples[slot.at].id.clone();
         Context { shared, run, slot, target, digest, model, min_version, id }
     };
     match events(&context, answer).await {
@@ -344,7 +351,7 @@
     if version.is_some_and(|version| version < context.min_version) {
         return Err(End::WrongVersion);
     }
-    context.shared.tell(&Event::Head { run: context.run });
+    context.shared.handle_event(&Event::AnswerStarted { run: context.run });
     let mut splitter = EventSplitter::default();
     while let Some(data) = answer.chunk().await.map_err(|error| context.broken(&error))? {
         splitter.push(&data);
@@ -355,8 +362,8 @@
     if !splitter.is_empty() {
         return Err(context.broken(&"ends within an event"));
     }
-    let world = context.shared.world.borrow();
-    match world.texts.contains_key(context.slot) {
+    let control = context.shared.control.borrow();
+    match control.partial_texts.contains_key(context.slot) {
         true => Ok(()),
         false => Err(context.broken(&"ends without any event")),
     }
