--- a/crates/hollywell/src/core/capacity.rs
+++ b/crates/hollywell/src/core/capacity.rs
@@ -10,7 +10,7 @@
 //! A store whose topics keep the newest record of each key counts a record
 //! twice: in its log, until the log is trimmed or the record expires, and as
 //! the newest record of its key, until the key is deleted. [`Log`] decides how
-//! far a log may be trimmed, [`crate::core::batch::Spare`] which keys may be
+//! far a log may be trimmed, [`crate::core::batch::Garbage`] which keys may be
 //! deleted.
 //!
 //! The store does not report its fill level, so [`State`] estimates it from the
--- a/crates/hollywell/src/entry/suspects.rs
+++ b/crates/hollywell/src/entry/suspects.rs
@@ -20,8 +20,8 @@
     },
     entry::{
         follow, peers,
-        shared::{Shared, World, wall_ms},
-        store::{Append, Fault, Part},
+        shared::{Control, Shared, unix_ms},
+        store::{Append, Partition, StoreError},
     },
 };
 
@@ -31,29 +31,29 @@
 const TOPIC: &str = "keyed.suspects";
 /// Least time between reads. The same request comes again within a few
 /// milliseconds, at any instance.
-const PAUSE: Duration = Duration::from_millis(20);
+const READ_INTERVAL: Duration = Duration::from_millis(20);
 /// The path on which turns to try a suspect are asked for.
-pub const TURN_PATH: &str = "/suspects/turn";
+pub const PERMIT_PATH: &str = "/suspects/turn";
 /// How long the answer to that is waited for: a round trip, and what a busy
 /// instance takes. Callers of plain requests wait for a second or so.
-const TURN_WAIT: Duration = Duration::from_millis(150);
+const PERMIT_TIMEOUT: Duration = Duration::from_millis(150);
 /// Most records of one append or one peer's word.
-const AT_ONCE: usize = 256;
+const MAX_BATCH: usize = 256;
 /// Pause after a failed append, at first and at most.
 const RETRY: Duration = Duration::from_millis(200);
 /// See [`RETRY`].
-const RETRY_MOST: Duration = Duration::from_secs(5);
+const MAX_RETRY: Duration = Duration::from_secs(5);
 
 /// What one peer tells another.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
-struct Word {
+struct SuspectList {
     #[prost(message, repeated, tag = "1")]
-    records: Vec<Said>,
+    records: Vec<SuspectRecord>,
 }
 
 /// A record as the store keeps it.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
-struct Said {
+struct SuspectRecord {
     #[prost(string, tag = "1")]
     digest: String,
     /// Empty if nothing is known against the request any more.
@@ -63,7 +63,7 @@
 
 /// A word about a turn.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
-struct Asked {
+struct PermitRequest {
     #[prost(string, tag = "1")]
     pool: String,
     /// Names the try.
@@ -74,20 +74,20 @@
     is_over: bool,
 }
 
-impl Asked {
+impl PermitRequest {
     fn over(&self) -> Bytes {
-        Asked { is_over: true, ..self.clone() }.encode_to_vec().into()
+        PermitRequest { is_over: true, ..self.clone() }.encode_to_vec().into()
     }
 }
 
 /// What others are still to be told.
 #[derive(Debug, Default)]
-pub struct Unsaved {
+pub struct UnsavedSuspects {
     digests: RefCell<BTreeSet<Digest>>,
     changed: Notify,
 }
 
-impl Unsaved {
+impl UnsavedSuspects {
     fn add(&self, digest: Digest) {
         self.digests.borrow_mut().insert(digest);
         self.changed.notify_one();
@@ -100,23 +100,23 @@
 
     fn take(&self) -> Vec<Digest> {
         let mut digests = self.digests.borrow_mut();
-        std::iter::from_fn(|| digests.pop_first()).take(AT_ONCE).collect()
+        std::iter::from_fn(|| digests.pop_first()).take(MAX_BATCH).collect()
     }
 }
 
 /// What is to be done with a request. Its digest is taken only if something
 /// is known against any.
 pub fn verdict(shared: &Shared, digest: impl FnOnce() -> Digest) -> Verdict {
-    let world = shared.world.borrow();
-    if world.poison.is_empty() {
+    let control = shared.control.borrow();
+    if control.poison.is_empty() {
         return Verdict::Free;
     }
-    world.poison.verdict(wall_ms(), digest())
+    control.poison.verdict(unix_ms(), digest())
 }
 
 /// Where a suspect may be tried.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Trial {
+pub enum ProbeTarget {
     /// At this target.
     At(Box<Announcement>),
     /// Nowhere for now: its pool would be left without a sound target.
@@ -124,120 +124,124 @@
 }
 
 /// Where a suspect may be tried among a pool's targets.
-pub fn trial(shared: &Shared, pool: &str, digest: Digest) -> Trial {
-    let (now, world) = (shared.now(), shared.world.borrow());
-    let since_ms = world.poison.since_end_ms(wall_ms(), digest).unwrap_or(u64::MAX);
-    let id = poison::probe_target(&sound(&world, now, pool), since_ms);
-    match id.and_then(|id| world.fleet.targets.get(id)) {
-        Some(target) => Trial::At(Box::new(target.announcement.clone())),
-        None => Trial::Nowhere,
+pub fn probe_target(shared: &Shared, pool: &str, digest: Digest) -> ProbeTarget {
+    let (now, control) = (shared.now(), shared.control.borrow());
+    let since_ms = control.poison.since_end_ms(unix_ms(), digest).unwrap_or(u64::MAX);
+    let id = poison::probe_target(&healthy(&control, now, pool), since_ms);
+    match id.and_then(|id| control.fleet.targets.get(id)) {
+        Some(target) => ProbeTarget::At(Box::new(target.announcement.clone())),
+        None => ProbeTarget::Nowhere,
     }
 }
 
 /// A pool's targets at which no exchange broke a moment ago.
-fn sound<'a>(world: &'a World, now: Time, pool: &'a str) -> Vec<&'a str> {
-    let all = world.fleet.usable(pool).map(|target| target.announcement.id.as_str());
-    all.filter(|id| !world.observations.has_failed_recently(now, id)).collect()
+fn healthy<'a>(control: &'a Control, now: Time, pool: &'a str) -> Vec<&'a str> {
+    let all = control.fleet.usable(pool).map(|target| target.announcement.id.as_str());
+    all.filter(|id| !control.observations.has_failed_recently(now, id)).collect()
 }
 
 /// Whether a suspect's last end is so long ago that it is alone where it is
 /// tried.
 pub fn is_settled(shared: &Shared, digest: Digest) -> bool {
-    let since_ms = shared.world.borrow().poison.since_end_ms(wall_ms(), digest);
+    let since_ms = shared.control.borrow().poison.since_end_ms(unix_ms(), digest);
     since_ms.is_none_or(|since_ms| since_ms >= poison::PROBE_DELAY_MS)
 }
 
 /// The target of a pool that is kept free for suspects, while any may be
 /// tried soon.
-pub fn reserved(shared: &Shared, pool: &str) -> Option<String> {
-    let (now, world) = (shared.now(), shared.world.borrow());
-    if !world.poison.has_pending_probe(wall_ms()) {
+pub fn reserved_target(shared: &Shared, pool: &str) -> Option<String> {
+    let (now, control) = (shared.now(), shared.control.borrow());
+    if !control.poison.has_pending_probe(unix_ms()) {
         return None;
     }
-    poison::probe_target(&sound(&world, now, pool), 0).map(str::to_owned)
+    poison::probe_target(&healthy(&control, now, pool), 0).map(str::to_owned)
 }
 
 /// The turn to try a suspect at a pool, which one of all instances has at a
 /// time. Dropped, it is given back.
-pub struct Turn {
+pub struct ProbePermit {
     shared: Rc<Shared>,
-    asked: Asked,
+    request: PermitRequest,
     /// The turn that was taken of those that this instance gives out.
     subject: String,
     /// Who gives out the pool's; `None` if that is this instance.
-    keeper: Option<String>,
-    ends_by_itself: bool,
+    issuer: Option<String>,
+    expires: bool,
 }
 
-impl Turn {
+impl ProbePermit {
     /// Leaves the turn taken until it ends by itself: others are to learn
     /// first what came of the try.
     pub fn keep(mut self) {
-        self.ends_by_itself = true;
+        self.expires = true;
     }
 }
 
-impl Drop for Turn {
+impl Drop for ProbePermit {
     fn drop(&mut self) {
-        if self.ends_by_itself {
+        if self.expires {
             return;
         }
-        self.shared.turns.borrow_mut().give_back(&self.subject, &self.asked.who);
-        let Some(keeper) = self.keeper.take() else {
+        self.shared.probe_permits.borrow_mut().release(&self.subject, &self.request.who);
+        let Some(issuer) = self.issuer.take() else {
             return;
         };
-        let (shared, over) = (self.shared.clone(), self.asked.over());
+        let (shared, over) = (self.shared.clone(), self.request.over());
         tokio::task::spawn_local(async move {
             // It ends by itself where this is lost.
-            let _told = peers::post(&shared, &keeper, TURN_PATH, over).await;
+            let _told = peers::post(&shared, &issuer, PERMIT_PATH, over).await;
         });
     }
 }
 
 /// Asks for the turn to try a suspect at a pool; `None` while another one is
 /// tried there, or whoever gives turns out cannot be reached.
-pub async fn turn(shared: &Rc<Shared>, pool: &str) -> Option<Turn> {
-    let keeper = {
-        let world = shared.world.borrow();
-        dispatch::owner(world.roster.members(), TURN_PATH, pool).map(str::to_owned)
+pub async fn acquire_probe_permit(shared: &Rc<Shared>, pool: &str) -> Option<ProbePermit> {
+    let issuer = {
+        let control = shared.control.borrow();
+        dispatch::owner(control.roster.members(), PERMIT_PATH, pool).map(str::to_owned)
     }?;
-    let keeper = Some(keeper).filter(|keeper| *keeper != shared.me);
+    let issuer = Some(issuer).filter(|issuer| *issuer != shared.instance_id);
     // An instance asks for one at a time, however many suspects wait here.
-    let subject = if keeper.is_some() { format!("here/{pool}") } else { pool.to_owned() };
-    let asked = Asked { pool: pool.to_owned(), who: shared.unique(), is_over: false };
+    let subject = if issuer.is_some() { format!("here/{pool}") } else { pool.to_owned() };
+    let request =
+        PermitRequest { pool: pool.to_owned(), who: shared.unique_key_part(), is_over: false };
     let now = shared.now();
-    if !shared.turns.borrow_mut().take(now, &subject, &asked.who) {
+    if !shared.probe_permits.borrow_mut().try_acquire(now, &subject, &request.who) {
         return None;
     }
-    let word = Bytes::from(asked.encode_to_vec());
-    let turn = Turn { shared: shared.clone(), asked, subject, keeper, ends_by_itself: false };
-    let Some(keeper) = turn.keeper.clone() else {
-        return Some(turn);
+    let word = Bytes::from(request.encode_to_vec());
+    let permit = ProbePermit { shared: shared.clone(), request, subject, issuer, expires: false };
+    let Some(issuer) = permit.issuer.clone() else {
+        return Some(permit);
     };
     // One whose answer comes too late is given back, as any other.
-    let given = timeout(TURN_WAIT, peers::post(shared, &keeper, TURN_PATH, word)).await;
-    matches!(given, Ok(Ok(()))).then_some(turn)
+    let given = timeout(PERMIT_TIMEOUT, peers::post(shared, &issuer, PERMIT_PATH, word)).await;
+    matches!(given, Ok(Ok(()))).then_some(permit)
 }
 
 /// Gives a turn to a peer, or takes it back.
-pub async fn hear_turn(shared: &Rc<Shared>, request: Request<Incoming>) -> Response<Full<Bytes>> {
-    let Asked { pool, who, is_over } = match peers::word(request).await {
-        Ok(asked) => asked,
-        Err(status) => return peers::nothing(status),
+pub async fn receive_permit_request(
+    shared: &Rc<Shared>,
+    request: Request<Incoming>,
+) -> Response<Full<Bytes>> {
+    let PermitRequest { pool, who, is_over } = match peers::decode_body(request).await {
+        Ok(request) => request,
+        Err(status) => return peers::empty_response(status),
     };
-    let (now, mut turns) = (shared.now(), shared.turns.borrow_mut());
+    let (now, mut permits) = (shared.now(), shared.probe_permits.borrow_mut());
     if is_over {
-        turns.give_back(&pool, &who);
-        return peers::nothing(StatusCode::OK);
+        permits.release(&pool, &who);
+        return peers::empty_response(StatusCode::OK);
     }
-    let is_free = turns.take(now, &pool, &who);
-    peers::nothing(if is_free { StatusCode::OK } else { StatusCode::CONFLICT })
+    let is_free = permits.try_acquire(now, &pool, &who);
+    peers::empty_response(if is_free { StatusCode::OK } else { StatusCode::CONFLICT })
 }
 
 /// Finds out whether a target, with which an exchange has broken, has ended;
 /// if so, that counts against the request that was there.
 /// `is_alone` if nothing else was sent there meanwhile, as far as is known.
-pub async fn look(
+pub async fn check_ended(
     shared: &Rc<Shared>,
     target: &Announcement,
     digest: Digest,
@@ -247,48 +251,48 @@
         return false;
     }
     let life = target.incarnation();
-    let (is_news, verdict) = {
-        let mut world = shared.world.borrow_mut();
-        let is_news = match is_alone {
-            true => world.poison.record_isolated_end(wall_ms(), digest, &life),
-            false => world.poison.record_target_end(wall_ms(), digest, &life),
+    let (is_new, verdict) = {
+        let mut control = shared.control.borrow_mut();
+        let is_new = match is_alone {
+            true => control.poison.record_isolated_end(unix_ms(), digest, &life),
+            false => control.poison.record_target_end(unix_ms(), digest, &life),
         };
-        (is_news, world.poison.verdict(wall_ms(), digest))
+        (is_new, control.poison.verdict(unix_ms(), digest))
     };
     shared.meters.targets_ended.inc();
     log::info!("target {life} has ended while {digest} was there: {verdict:?}");
-    if is_news {
-        shared.unsaved.add(digest);
+    if is_new {
+        shared.unsaved_suspects.add(digest);
     }
     true
 }
 
 /// Notes that a target has answered a request, or goes on with it.
-pub fn served(shared: &Shared, digest: impl FnOnce() -> Digest) {
+pub fn record_served(shared: &Shared, digest: impl FnOnce() -> Digest) {
     let known = {
-        let mut world = shared.world.borrow_mut();
-        if world.poison.is_empty() {
+        let mut control = shared.control.borrow_mut();
+        if control.poison.is_empty() {
             return;
         }
         let digest = digest();
-        world.poison.record_answer(digest).then_some(digest)
+        control.poison.record_answer(digest).then_some(digest)
     };
     if let Some(digest) = known {
         log::info!("{digest} was served: nothing is held against it");
-        shared.unsaved.add(digest);
+        shared.unsaved_suspects.add(digest);
     }
 }
 
 /// Forgets what nothing follows from any more. One instance drops it from the
 /// store.
 pub fn expire(shared: &Shared) {
-    let mut world = shared.world.borrow_mut();
-    let over = world.poison.expire(wall_ms());
-    let members = world.roster.members();
+    let mut control = shared.control.borrow_mut();
+    let over = control.poison.expire(unix_ms());
+    let members = control.roster.members();
     let is_mine = |digest: &&Digest| {
-        dispatch::owner(members, &digest.to_string(), "") == Some(shared.me.as_str())
+        dispatch::owner(members, &digest.to_string(), "") == Some(shared.instance_id.as_str())
     };
-    over.iter().filter(is_mine).for_each(|digest| shared.unsaved.add(*digest));
+    over.iter().filter(is_mine).for_each(|digest| shared.unsaved_suspects.add(*digest));
 }
 
 /// Brings what is known here to the store until the instance stops, and to
@@ -296,76 +300,76 @@
 pub async fn save(shared: Rc<Shared>) {
     let mut pause = RETRY;
     loop {
-        let digests = shared.unsaved.take();
+        let digests = shared.unsaved_suspects.take();
         if digests.is_empty() {
-            shared.unsaved.changed.notified().await;
+            shared.unsaved_suspects.changed.notified().await;
             continue;
         }
-        let said = said(&shared, &digests);
-        match append(&shared, &said).await {
+        let records = records_of(&shared, &digests);
+        match append(&shared, &records).await {
             Ok(()) => pause = RETRY,
             Err(fault) => {
-                log::info!("{} suspects are kept for another append: {fault}", said.len());
-                tell_all(&shared, &said);
-                shared.unsaved.put_back(digests);
+                log::info!("{} suspects are kept for another append: {fault}", records.len());
+                notify_all(&shared, &records);
+                shared.unsaved_suspects.put_back(digests);
                 // What becomes known meanwhile does not wait: peers must know
                 // it however long the store has been away.
-                let _woken = timeout(pause, shared.unsaved.changed.notified()).await;
-                pause = (pause * 2).min(RETRY_MOST);
+                let _woken = timeout(pause, shared.unsaved_suspects.changed.notified()).await;
+                pause = (pause * 2).min(MAX_RETRY);
             }
         }
     }
 }
 
-fn said(shared: &Shared, digests: &[Digest]) -> Vec<Said> {
-    let world = shared.world.borrow();
-    let one = |digest: &Digest| Said {
+fn records_of(shared: &Shared, digests: &[Digest]) -> Vec<SuspectRecord> {
+    let control = shared.control.borrow();
+    let one = |digest: &Digest| SuspectRecord {
         digest: digest.to_string(),
-        record: world.poison.record(*digest).unwrap_or_default().into(),
+        record: control.poison.record(*digest).unwrap_or_default().into(),
     };
     digests.iter().map(one).collect()
 }
 
-async fn append(shared: &Shared, said: &[Said]) -> Result<(), Fault> {
-    let record = |said: &Said| (Some(said.digest.clone()), said.record.clone());
-    let records = said.iter().map(record).collect();
-    let (part, purpose) = (Part::new(TOPIC, 0), Purpose::Suspect);
+async fn append(shared: &Shared, records: &[SuspectRecord]) -> Result<(), StoreError> {
+    let record = |records: &SuspectRecord| (Some(records.digest.clone()), records.record.clone());
+    let records = records.iter().map(record).collect();
+    let (part, purpose) = (Partition::new(TOPIC, 0), Purpose::Suspect);
     shared.append(Append { part, records, expected_end: None, purpose }).await.map(|_| ())
 }
 
-fn tell_all(shared: &Rc<Shared>, said: &[Said]) {
-    let word = Bytes::from(Word { records: said.to_vec() }.encode_to_vec());
-    let members = shared.world.borrow().roster.members().to_vec();
-    for member in members.into_iter().filter(|member| *member != shared.me) {
-        tokio::task::spawn_local(tell(shared.clone(), member, word.clone()));
+fn notify_all(shared: &Rc<Shared>, records: &[SuspectRecord]) {
+    let word = Bytes::from(SuspectList { records: records.to_vec() }.encode_to_vec());
+    let members = shared.control.borrow().roster.members().to_vec();
+    for member in members.into_iter().filter(|member| *member != shared.instance_id) {
+        tokio::task::spawn_local(notify(shared.clone(), member, word.clone()));
     }
 }
 
-async fn tell(shared: Rc<Shared>, member: String, word: Bytes) {
+async fn notify(shared: Rc<Shared>, member: String, word: Bytes) {
     if let Err(why) = peers::post(&shared, &member, PATH, word).await {
         log::info!("telling {member} of suspects: {why}");
     }
 }
 
 /// Takes in what a peer tells.
-pub async fn hear(shared: &Rc<Shared>, request: Request<Incoming>) -> Response<Full<Bytes>> {
-    let Word { records } = match peers::word(request).await {
+pub async fn receive(shared: &Rc<Shared>, request: Request<Incoming>) -> Response<Full<Bytes>> {
+    let SuspectList { records } = match peers::decode_body(request).await {
         Ok(word) => word,
-        Err(status) => return peers::nothing(status),
+        Err(status) => return peers::empty_response(status),
     };
-    records.iter().for_each(|said| take(shared, &said.digest, &said.record));
-    peers::nothing(StatusCode::OK)
+    records.iter().for_each(|records| apply_record(shared, &records.digest, &records.record));
+    peers::empty_response(StatusCode::OK)
 }
 
 /// Takes a record in, the store's or a peer's.
-fn take(shared: &Shared, key: &str, record: &[u8]) {
-    let mut world = shared.world.borrow_mut();
+fn apply_record(shared: &Shared, key: &str, record: &[u8]) {
+    let mut control = shared.control.borrow_mut();
     let taken = key.parse::<Digest>().and_then(|digest| {
         if record.is_empty() {
-            world.poison.record_answer(digest);
+            control.poison.record_answer(digest);
             return Ok(());
         }
-        world.poison.read(wall_ms(), digest, record)
+        control.poison.read(unix_ms(), digest, record)
     });
     if let Err(error) = taken {
         shared.meters.suspects_skipped.inc();
@@ -375,18 +379,18 @@
 
 /// Follows what the instances have recorded.
 pub async fn serve(shared: Rc<Shared>) {
-    let part = Part::new(TOPIC, 0);
+    let part = Partition::new(TOPIC, 0);
     follow::follow(
         shared,
         part,
-        |_| PAUSE,
+        |_| READ_INTERVAL,
         None,
         true,
         |shared, records, _| {
             for record in &records.records {
-                take(shared, &record.key, record.value.as_deref().unwrap_or_default());
+                apply_record(shared, &record.key, record.value.as_deref().unwrap_or_default());
             }
-            shared.world.borrow_mut().poison_known = true;
+            shared.control.borrow_mut().poison_loaded = true;
         },
     )
     .await;
--- a/crates/hollywell/tests/usage.rs
+++ b/crates/hollywell/tests/usage.rs
@@ -9,14 +9,16 @@
 use bytes::Bytes;
 use hollywell::core::{
     time::Time,
-    usage::{Counts, Day, Ledger, Next, Tally, Terms, carried_key, decision, reported},
+    usage::{
+        Counts, Ledger, Next, Schedule, SteadyClock, Tally, decision, forwarded_key, reported,
+    },
 };
 
-const TERMS: Terms = Terms { window_ms: 5_000, late_ms: 10_000 };
+const TERMS: Schedule = Schedule { window_ms: 5_000, late_ms: 10_000 };
 
 fn ledger(records: &[(String, Bytes)]) -> Ledger {
     let mut ledger = Ledger::default();
-    records.iter().for_each(|(key, value)| ledger.piece(key, value).unwrap());
+    records.iter().for_each(|(key, value)| ledger.add_counts(key, value).unwrap());
     ledger
 }
 
@@ -28,15 +30,15 @@
 fn pieces_of_all_instances_are_added_up_once() {
     let (mut a, mut b) = (Tally::default(), Tally::default());
     (0..3).for_each(|_| a.begin(4, "survey"));
-    let early = a.take("a1");
+    let early = a.take_changed("a1");
     a.begin(4, "harbour");
     a.undo(4, "survey");
-    let late = a.take("a1");
+    let late = a.take_changed("a1");
     b.begin(4, "survey");
     // The same window again, by a peer, and older than what is there.
     let carried: Vec<_> =
-        early.iter().map(|(key, value)| (carried_key(key, "b1"), value.clone())).collect();
-    let all: Vec<_> = [late, b.take("b1"), carried].concat();
+        early.iter().map(|(key, value)| (forwarded_key(key, "b1"), value.clone())).collect();
+    let all: Vec<_> = [late, b.take_changed("b1"), carried].concat();
     let sum = ledger(&all).next(TERMS.settled_ms(4), TERMS, 4);
     assert_eq!(sum, Next::Decide(4, counts(&[("harbour", 1), ("survey", 3)])));
 }
@@ -45,9 +47,9 @@
 fn what_the_store_did_not_take_is_brought_again() {
     let mut tally = Tally::default();
     tally.begin(4, "survey");
-    let taken = tally.take("a1");
-    tally.put_back(&taken);
-    let again = tally.take("a1");
+    let taken = tally.take_changed("a1");
+    tally.mark_unsaved(&taken);
+    let again = tally.take_changed("a1");
     assert_eq!(again.len(), 1);
     let sum = ledger(&[taken, again].concat()).next(TERMS.settled_ms(4), TERMS, 4);
     assert_eq!(sum, Next::Decide(4, counts(&[("survey", 1)])));
@@ -58,12 +60,12 @@
     let mut ledger = Ledger::default();
     let report = Bytes::from_static(b"as it was decided");
     for (key, value) in [decision(8, report.clone()), decision(7, report.clone())] {
-        ledger.duty(&key, &value).unwrap();
+        ledger.add_record(&key, &value).unwrap();
     }
     let now = TERMS.settled_ms(9);
     assert_eq!(ledger.next(now, TERMS, 7), Next::Report(7, report.clone()));
     for (key, value) in reported(7).into_iter().filter(|(_, value)| !value.is_empty()) {
-        ledger.duty(&key, &value).unwrap();
+        ledger.add_record(&key, &value).unwrap();
     }
     assert_eq!(ledger.next(now, TERMS, 7), Next::Report(8, report));
     assert_eq!(ledger.last_reported(), Some(7));
@@ -73,7 +75,7 @@
 fn a_duty_left_undone_for_long_is_taken_up_near_the_present() {
     let mut ledger = Ledger::default();
     for (key, value) in reported(3).into_iter().filter(|(_, value)| !value.is_empty()) {
-        ledger.duty(&key, &value).unwrap();
+        ledger.add_record(&key, &value).unwrap();
     }
     let now = TERMS.settled_ms(1_000);
     let Next::Decide(window, _) = ledger.next(now, TERMS, 0) else { panic!("nothing is due") };
@@ -86,24 +88,24 @@
         let mut ledger = Ledger::default();
         let (key, value): (String, Vec<u8>) = (u.arbitrary()?, u.arbitrary()?);
         let before = ledger.next(0, TERMS, 5);
-        let _either = ledger.piece(&key, &value);
-        let read = ledger.duty(&key, &Bytes::from(value));
-        assert!(read.is_ok() || ledger.next(0, TERMS, 5) == before || ledger.is_spent(""));
+        let _either = ledger.add_counts(&key, &value);
+        let read = ledger.add_record(&key, &Bytes::from(value));
+        assert!(read.is_ok() || ledger.next(0, TERMS, 5) == before || ledger.is_obsolete(""));
         Ok(())
     })
     .seed(0x5eed_0000_0400)
     .run();
     let mut ledger = Ledger::default();
     for key in ["", "7", "x|a", "7|", "reported|", "decided|x"] {
-        assert!(ledger.duty(key, &Bytes::from_static(b"x")).is_err(), "{key:?}");
+        assert!(ledger.add_record(key, &Bytes::from_static(b"x")).is_err(), "{key:?}");
     }
-    assert!(ledger.piece("7|a", b"\xff").is_err());
+    assert!(ledger.add_counts("7|a", b"\xff").is_err());
     assert_eq!(ledger.next(0, TERMS, 5), Next::Wait(TERMS.settled_ms(5)));
 }
 
 #[test]
 fn a_clock_that_jumps_and_comes_back_moves_no_window() {
-    let mut day = Day::default();
+    let mut day = SteadyClock::default();
     let (start, wall) = (Time(1_000), 1_000_000);
     assert_eq!(day.read(start, wall), wall);
     for ms in (100..20_000).step_by(100) {
@@ -180,17 +182,17 @@
             for writer in pieces {
                 let mut tally = Tally::default();
                 tally.begin(window, "survey");
-                let records = tally.take(writer);
-                records.iter().for_each(|(key, value)| ledger.piece(key, value).unwrap());
+                let records = tally.take_changed(writer);
+                records.iter().for_each(|(key, value)| ledger.add_counts(key, value).unwrap());
             }
             if let Some(late_piece) = known.decided {
                 let (key, value) = decision(window, report(late_piece));
-                ledger.duty(&key, &value).unwrap();
+                ledger.add_record(&key, &value).unwrap();
             }
         }
         if let Some(last) = kept.reported {
             let (key, value) = reported(u64::from(last)).swap_remove(0);
-            ledger.duty(&key, &value).unwrap();
+            ledger.add_record(&key, &value).unwrap();
         }
         ledger.next(TERMS.settled_ms(WINDOWS as u64 - 1), TERMS, 0)
     }
--- a/crates/xtask/src/guards.rs
+++ b/crates/xtask/src/guards.rs
@@ -38,10 +38,10 @@
 
 const GUARDS: &[Guard] = &[
     Guard {
-        name: "deputy's copy before dispatch",
+        name: "replica's copy before dispatch",
         file: REDUCER_KEYED,
-        find: "let Some(deputy) = map.deputy(key).cloned() else {",
-        replace: "let Some(deputy) = None::<Instance> else {",
+        find: "let Some(replica) = map.replica(key).cloned() else {",
+        replace: "let Some(replica) = None::<Instance> else {",
         proof: KEYED,
     },
     Guard {
@@ -54,15 +54,15 @@
     Guard {
         name: "wait for a removed member's lease",
         file: OWNER,
-        find: "false => heard.after(fence_ms),",
-        replace: "false => heard,",
+        find: "false => last_handoff.after(fence_ms),",
+        replace: "false => last_handoff,",
         proof: KEYED,
     },
     Guard {
         name: "wait where no member stays",
         file: OWNER,
         find: "true => self.without_promises(old.at),",
-        replace: "true => heard,",
+        replace: "true => last_handoff,",
         proof: "owner",
     },
     Guard {
@@ -75,15 +75,15 @@
     Guard {
         name: "unknown for keys whose claims were lost",
         file: REDUCER_KEYED,
-        find: "if self.owner.is_blind(key, self.now) {",
+        find: "if self.owner.may_have_lost_claims(key, self.now) {",
         replace: "if false {",
         proof: KEYED,
     },
     Guard {
         name: "wait for a hand-over from members that stay",
         file: OWNER,
-        find: "return heard.after(fence_ms + self.config.lease_ms);",
-        replace: "return heard;",
+        find: "return last_handoff.after(fence_ms + self.config.lease_ms);",
+        replace: "return last_handoff;",
         proof: "owner",
     },
     Guard {
@@ -96,28 +96,28 @@
     Guard {
         name: "a removed instance still knows what it knew",
         file: OWNER,
-        find: "self.former.push(self.me.clone());",
+        find: "self.former_ids.push(self.local.clone());",
         replace: "self.last_active = None;",
         proof: "owner",
     },
     Guard {
         name: "hand-overs of the current epoch only",
         file: OWNER,
-        find: "self.heard.values().filter(|(handoff, _)| handoff.epoch == self.map.epoch)",
-        replace: "self.heard.values()",
+        find: "self.received.values().filter(|(handoff, _)| handoff.epoch == self.map.epoch)",
+        replace: "self.received.values()",
         proof: "owner",
     },
     Guard {
         name: "a removed incarnation never returns",
         file: OWNER,
-        find: "            self.me.incarnation += 1;",
+        find: "            self.local.incarnation += 1;",
         replace: "",
         proof: "owner",
     },
     Guard {
         name: "inherited claims are kept",
         file: REDUCER_PEERS,
-        find: "for copy in &copies {\n            self.book.keep(copy, self.now);\n        }",
+        find: "for copy in &copies {\n            self.claims.keep(copy, self.now);\n        }",
         replace: "drop(copies);",
         proof: KEYED,
     },
@@ -145,8 +145,8 @@
     Guard {
         name: "an entry that does not know says unknown",
         file: REDUCER_CALLS,
-        find: "let known = if call.key.is_some() { Kind::Unverified } else { kind };",
-        replace: "let known = kind;",
+        find: "let reported = if call.key.is_some() { Kind::Unverified } else { kind };",
+        replace: "let reported = kind;",
         proof: KEYED,
     },
     Guard {
@@ -159,15 +159,15 @@
     Guard {
         name: "an ending instance owns nothing new",
         file: REDUCER_KEYED,
-        find: "if to_me && !self.exited {",
-        replace: "if to_me {",
+        find: "if is_addressee && !self.exited {",
+        replace: "if is_addressee {",
         proof: CASES,
     },
     Guard {
         name: "a stop waits for what is in flight",
         file: REDUCER_STOP,
-        find: "let quiet = self.idle_ticks > QUIET_TICKS;",
-        replace: "let quiet = self.idle_ticks <= QUIET_TICKS || idle;",
+        find: "let is_idle = self.idle_ticks > IDLE_TICKS;",
+        replace: "let is_idle = self.idle_ticks <= IDLE_TICKS || is_finished;",
         proof: KEYED,
     },
     Guard {
@@ -257,15 +257,15 @@
     Guard {
         name: "peers bring the state across a cut",
         file: REDUCER_AGREED,
-        find: "if self.now.since(since) >= BEHIND_MS {",
+        find: "if self.now.since(since) >= PULL_AFTER_MS {",
         replace: "if self.now.since(since) >= u64::MAX {",
         proof: TABLE,
     },
     Guard {
         name: "the next in rank writes snapshots",
         file: REDUCER_AGREED,
-        find: "let patience = 2 + self.rank();",
-        replace: "let patience = 2 + 1_000 * self.rank();",
+        find: "let factor = 2 + self.rank();",
+        replace: "let factor = 2 + 1_000 * self.rank();",
         proof: CASES,
     },
     Guard {
@@ -299,8 +299,8 @@
     Guard {
         name: "the challenger's wait",
         file: LEASE,
-        find: "(Some(_), false) => self.seen_at.after(lease_ms + guard_ms),",
-        replace: "(Some(_), false) => self.seen_at.after(guard_ms),",
+        find: "(Some(_), false) => self.read_at.after(lease_ms + guard_ms),",
+        replace: "(Some(_), false) => self.read_at.after(guard_ms),",
         proof: "lease",
     },
     Guard {
