--- a/crates/hollywell/src/entry/forward.rs
+++ b/crates/hollywell/src/entry/forward.rs
@@ -347,7 +347,8 @@
 }
 
 fn attempt_timeout_ms(route: &Route) -> u64 {
-    (route.target_latency_ms * ATTEMPT_TIMEOUT_FACTOR).clamp(ATTEMPT_TIMEOUT_MS.0, ATTEMPT_TIMEOUT_MS.1)
+    (route.target_latency_ms * ATTEMPT_TIMEOUT_FACTOR)
+        .clamp(ATTEMPT_TIMEOUT_MS.0, ATTEMPT_TIMEOUT_MS.1)
 }
 
 fn choose_target(
--- a/crates/hollywell/src/entry/jobs.rs
+++ b/crates/hollywell/src/entry/jobs.rs
@@ -509,7 +509,12 @@
                 if answer.status == http::StatusCode::INTERNAL_SERVER_ERROR {
                     failures += 1;
                 }
-                log::debug!("scoring sample {}/{}: {}", sample_id.job, sample_id.index, answer.status);
+                log::debug!(
+                    "scoring sample {}/{}: {}",
+                    sample_id.job,
+                    sample_id.index,
+                    answer.status
+                );
             }
             ForwardResult::Refused(kind, retry_after_ms) => {
                 log::debug!("scoring sample {}/{}: {kind:?}", sample_id.job, sample_id.index);
@@ -525,7 +530,11 @@
             }
         }
         if failures >= max_failures {
-            log::info!("scoring sample {}/{} failed {failures} times", sample_id.job, sample_id.index);
+            log::info!(
+                "scoring sample {}/{} failed {failures} times",
+                sample_id.job,
+                sample_id.index
+            );
             shared.handle_event(&Event::ScoringFailed(sample_id));
             return;
         }
--- a/crates/hollywell/src/entry/orders.rs
+++ b/crates/hollywell/src/entry/orders.rs
@@ -185,7 +185,8 @@
     {
         shared.reset_target(control, &order.target, address);
     }
-    let born = control.fleet.targets.get(&order.target).and_then(|target| target.announcement.start_ms);
+    let born =
+        control.fleet.targets.get(&order.target).and_then(|target| target.announcement.start_ms);
     for (model, version) in &report.versions {
         control.fleet.record_version(&order.target, born, model, *version);
     }
--- a/crates/hollywell/src/entry/outbox.rs
+++ b/crates/hollywell/src/entry/outbox.rs
@@ -113,7 +113,8 @@
         return Ok(());
     }
     let record = |entry: &&mut Entry| {
-        let key = batch::text_key(&entry.sample_id.job, &shared.unique_key_part(), &entry.outcome.id);
+        let key =
+            batch::text_key(&entry.sample_id.job, &shared.unique_key_part(), &entry.outcome.id);
         (key, entry.text.clone().unwrap_or_default())
     };
     let keyed: Vec<(String, Bytes)> = waiting.iter().map(record).collect();
@@ -145,7 +146,8 @@
         // Each append uses a new key: if the same key were appended twice, the
         // store would keep only the later record, and the result would change
         // its position.
-        let (key, value) = batch::outcome_record(&sample_id.job, &shared.unique_key_part(), outcome);
+        let (key, value) =
+            batch::outcome_record(&sample_id.job, &shared.unique_key_part(), outcome);
         records.push((Some(key), value));
     }
     let (at, purpose) = (Partition::at(JOBS, part), Purpose::Outcome);
@@ -284,7 +286,8 @@
     let mut grown_texts = Vec::new();
     let mut bytes = 0;
     for (sample_id, text) in &control.partial_texts {
-        if shared.partition_of(&sample_id.job) != part || text.last_event < text.saved_event + min_events
+        if shared.partition_of(&sample_id.job) != part
+            || text.last_event < text.saved_event + min_events
         {
             continue;
         }
--- a/crates/hollywell/src/entry/run.rs
+++ b/crates/hollywell/src/entry/run.rs
@@ -83,7 +83,12 @@
         async move {
             let end = execute(&shared, run, &sample_id, &announcement, priority).await;
             let events = || {
-                shared.control.borrow().partial_texts.get(&sample_id).map_or(0, |text| text.last_event)
+                shared
+                    .control
+                    .borrow()
+                    .partial_texts
+                    .get(&sample_id)
+                    .map_or(0, |text| text.last_event)
             };
             let (job, at, id) = (&sample_id.job, sample_id.index, &announcement.id);
             log::debug!("sample {job}/{at} at {id}: {end:?}, {} events", events());
@@ -107,7 +112,11 @@
         // A longer text has replaced it, or the store is unavailable. The run
         // then resumes from the text in memory, or starts from scratch.
         Err(fault) => {
-            log::info!("failed to read the partial text of {}/{}: {fault}", sample_id.job, sample_id.index);
+            log::info!(
+                "failed to read the partial text of {}/{}: {fault}",
+                sample_id.job,
+                sample_id.index
+            );
             return;
         }
     };
@@ -189,7 +198,8 @@
 /// Identifies a sample's content across jobs, retries and instances.
 fn digest(shared: &Shared, sample_id: &SampleId, sample: &Sample) -> Digest {
     let control = shared.control.borrow();
-    let job = control.partitions[shared.partition_of(&sample_id.job)].index.jobs.get(&sample_id.job);
+    let job =
+        control.partitions[shared.partition_of(&sample_id.job)].index.jobs.get(&sample_id.job);
     let (host, organisation) =
         job.map_or(("", ""), |job| (&job.manifest.host, &job.manifest.organisation));
     Digest::of(&["POST", host, &sample.path, organisation], &sample.body)
@@ -240,7 +250,8 @@
     priority: u8,
 ) -> Option<Request<Full<Bytes>>> {
     let control = shared.control.borrow();
-    let job = control.partitions[shared.partition_of(&sample_id.job)].index.jobs.get(&sample_id.job)?;
+    let job =
+        control.partitions[shared.partition_of(&sample_id.job)].index.jobs.get(&sample_id.job)?;
     let headers = &shared.codec.headers;
     let mut request = Request::post(sample.path.as_str())
         .header(http::header::HOST, job.manifest.host.as_str())
--- a/crates/hollywell/src/entry/samples.rs
+++ b/crates/hollywell/src/entry/samples.rs
@@ -60,8 +60,9 @@
     };
     let control = &mut *shared.control.borrow_mut();
     // A job that was ended meanwhile is not remembered.
-    let open = control.partitions[part].index.jobs.get(&sample_id.job).is_some_and(|job| !job.ended)
-        && !control.ending.is_pending(&sample_id.job);
+    let open =
+        control.partitions[part].index.jobs.get(&sample_id.job).is_some_and(|job| !job.ended)
+            && !control.ending.is_pending(&sample_id.job);
     if open {
         control.bundles.insert((sample_id.job.clone(), bundle), decoded.clone());
     }
--- a/crates/hollywell/src/entry/shared.rs
+++ b/crates/hollywell/src/entry/shared.rs
@@ -444,8 +444,12 @@
         match change {
             Change::Opened(job) => self.open_job(part, job),
             Change::Skipped(skip) => log::warn!("{skip}"),
-            Change::ResultStored(job, at) => self.handle_event(&Event::ResultStored(SampleId { job, index: at })),
-            Change::PartialStored(job, at) => self.partial_text_grew(part, SampleId { job, index: at }),
+            Change::ResultStored(job, at) => {
+                self.handle_event(&Event::ResultStored(SampleId { job, index: at }))
+            }
+            Change::PartialStored(job, at) => {
+                self.partial_text_grew(part, SampleId { job, index: at })
+            }
             Change::Ended(job) | Change::Deleted(job) => {
                 self.close_job(&job);
                 ends::handle_event(self, &ending::Event::Settled(job));
@@ -486,7 +490,8 @@
     fn partial_text_grew(self: &Rc<Shared>, part: usize, sample_id: SampleId) {
         let kept = {
             let control = self.control.borrow();
-            let Some(own) = control.partial_texts.get(&sample_id).map(|text| text.last_event) else {
+            let Some(own) = control.partial_texts.get(&sample_id).map(|text| text.last_event)
+            else {
                 return;
             };
             let job = control.partitions[part].index.jobs.get(&sample_id.job);
