--- a/crates/hollywell/src/core/fleet.rs
+++ b/crates/hollywell/src/core/fleet.rs
@@ -26,7 +26,7 @@
 
 /// How long after the recovery of the store an expired entry may take to
 /// reappear, in milliseconds. The platform specifies about two seconds.
-pub const LAPSE_GRACE_MS: u64 = 2_500;
+pub const EXPIRY_GRACE_MS: u64 = 2_500;
 /// How long the last entry of a target that is gone is remembered, in
 /// milliseconds: longer than a log keeps records, which could be read again.
 const REMOVED_RETENTION_MS: u64 = 600_000;
@@ -146,7 +146,7 @@
     #[serde(rename = "births")]
     starts_reported: bool,
     /// When the store last recovered; entries that disappear within
-    /// [`LAPSE_GRACE_MS`] after that may only have expired.
+    /// [`EXPIRY_GRACE_MS`] after that may only have expired.
     #[serde(rename = "store_back_at")]
     pub store_recovered_at: Option<Time>,
     /// Whether the store is unavailable now.
@@ -221,9 +221,9 @@
     /// Records that an entry disappeared from the store.
     pub fn record_expiry(&mut self, now: Time, id: &str) {
         self.skipped.remove(id);
-        let lapse_window = self.store_unavailable
-            || self.store_recovered_at.is_some_and(|at| now.since(at) < LAPSE_GRACE_MS);
-        if !lapse_window {
+        let may_reappear = self.store_unavailable
+            || self.store_recovered_at.is_some_and(|at| now.since(at) < EXPIRY_GRACE_MS);
+        if !may_reappear {
             self.remove(now, id);
         } else if let Some(target) = self.targets.get_mut(id) {
             target.expired = true;
@@ -283,7 +283,7 @@
     /// available for long enough.
     pub fn expire(&mut self, now: Time) {
         let settled = !self.store_unavailable
-            && self.store_recovered_at.is_none_or(|at| now.since(at) >= LAPSE_GRACE_MS);
+            && self.store_recovered_at.is_none_or(|at| now.since(at) >= EXPIRY_GRACE_MS);
         if settled {
             let expired = self.targets.iter().filter(|(_, target)| target.expired);
             let expired: Vec<String> = expired.map(|(id, _)| id.clone()).collect();
--- a/crates/hollywell/src/core/roster.rs
+++ b/crates/hollywell/src/core/roster.rs
@@ -16,7 +16,7 @@
     net::SocketAddr,
 };
 
-use crate::core::{fleet::LAPSE_GRACE_MS, time::Time};
+use crate::core::{fleet::EXPIRY_GRACE_MS, time::Time};
 
 /// How long a member must be missing from all readings before it is removed, in
 /// milliseconds: longer than the reassignment of partitions takes, and short
@@ -181,7 +181,7 @@
         if adds_itself {
             members.push(self.own_id.clone());
         }
-        let recovering = recovered_at.is_some_and(|at| now.since(at) < LAPSE_GRACE_MS);
+        let recovering = recovered_at.is_some_and(|at| now.since(at) < EXPIRY_GRACE_MS);
         let mut missing = BTreeMap::new();
         for member in self.members.iter().filter(|member| !listed.contains(member.as_str())) {
             let since = self.missing.get(member).copied().unwrap_or(now);
--- a/crates/hollywell/tests/fleet.rs
+++ b/crates/hollywell/tests/fleet.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 
 use hollywell::core::{
-    fleet::{AnnounceOutcome, Announcement, Fleet, LAPSE_GRACE_MS},
+    fleet::{AnnounceOutcome, Announcement, Fleet, EXPIRY_GRACE_MS},
     time::Time,
 };
 
@@ -47,7 +47,7 @@
     fleet.expire(Time(5_200));
     assert_eq!(fleet.usable("llm").count(), 2);
     fleet.announce(Time(6_000), target("a", 1, false));
-    fleet.expire(Time(5_000 + LAPSE_GRACE_MS));
+    fleet.expire(Time(5_000 + EXPIRY_GRACE_MS));
     let left: Vec<&str> =
         fleet.usable("llm").map(|target| target.announcement.id.as_str()).collect();
     assert_eq!(left, ["a"]);
