--- a/crates/hollywell/src/entry/forward.rs
+++ b/crates/hollywell/src/entry/forward.rs
@@ -188,7 +188,7 @@
     fn may_retry(&self, route: &Route) -> bool {
         let tried = u32::try_from(self.tried.len()).unwrap_or(u32::MAX);
         let is_safe = route.kind == RouteKind::Idempotent || !self.may_have_run;
-        tried < route.attempts.max(1) && self.crashes < MAX_CRASHES && is_safe
+        tried < route.max_attempts.max(1) && self.crashes < MAX_CRASHES && is_safe
     }
 
     /// Records the result of an attempt. Returns the response if it is final.
@@ -293,7 +293,7 @@
             tokio::time::sleep(RETRY_DELAY).await;
             continue;
         };
-        let last = state.tried.len() + 1 >= route.attempts.max(1) as usize;
+        let last = state.tried.len() + 1 >= route.max_attempts.max(1) as usize;
         let limit_ms = match route.kind {
             RouteKind::Idempotent if !last => attempt_timeout_ms(route).min(left_ms),
             _ => left_ms,
@@ -347,7 +347,8 @@
 }
 
 fn attempt_timeout_ms(route: &Route) -> u64 {
-    (route.target_ms * ATTEMPT_TIMEOUT_FACTOR).clamp(ATTEMPT_TIMEOUT_MS.0, ATTEMPT_TIMEOUT_MS.1)
+    (route.target_latency_ms * ATTEMPT_TIMEOUT_FACTOR)
+        .clamp(ATTEMPT_TIMEOUT_MS.0, ATTEMPT_TIMEOUT_MS.1)
 }
 
 fn choose_target(
--- a/crates/hollywell/src/entry/outbox.rs
+++ b/crates/hollywell/src/entry/outbox.rs
@@ -19,7 +19,7 @@
     core::{
         batch::{self, Outcome, Partial, TextRef},
         capacity::Purpose,
-        dispatch::Slot,
+        dispatch::SampleId,
     },
     entry::{
         run::GeneratedText,
@@ -37,7 +37,7 @@
 const MAX_OVERHEAD_BYTES: usize = 500;
 
 struct Entry {
-    slot: Slot,
+    sample_id: SampleId,
     outcome: Outcome,
     /// The text, until it is stored.
     text: Option<Bytes>,
@@ -62,20 +62,20 @@
 
 /// Queues a sample's result to be stored. `dead` marks a sample that was given
 /// up.
-pub fn deliver(shared: &Rc<Shared>, slot: &Slot, dead: bool) {
-    let part = shared.partition_of(&slot.job);
+pub fn deliver(shared: &Rc<Shared>, sample_id: &SampleId, dead: bool) {
+    let part = shared.partition_of(&sample_id.job);
     {
         let mut control = shared.control.borrow_mut();
-        let text = control.partial_texts.remove(slot).unwrap_or_default();
-        let Some(job) = control.partitions[part].index.jobs.get(&slot.job) else {
+        let text = control.partial_texts.remove(sample_id).unwrap_or_default();
+        let Some(job) = control.partitions[part].index.jobs.get(&sample_id.job) else {
             return;
         };
-        let id = job.manifest.samples[slot.at].id.clone();
+        let id = job.manifest.samples[sample_id.index].id.clone();
         let versions = if dead { vec![] } else { text.versions.into_iter().collect() };
         let score = text.score.filter(|_| !dead);
         let outcome = Outcome { id, abandoned: dead, text: None, versions, score };
         let text = (!dead).then(|| Bytes::from(text.data));
-        let entry = Entry { slot: slot.clone(), outcome, text };
+        let entry = Entry { sample_id: sample_id.clone(), outcome, text };
         shared.outbox[part].queue.borrow_mut().push_back(entry);
     }
     if !shared.outbox[part].busy.replace(true) {
@@ -113,7 +113,8 @@
         return Ok(());
     }
     let record = |entry: &&mut Entry| {
-        let key = batch::text_key(&entry.slot.job, &shared.unique_key_part(), &entry.outcome.id);
+        let key =
+            batch::text_key(&entry.sample_id.job, &shared.unique_key_part(), &entry.outcome.id);
         (key, entry.text.clone().unwrap_or_default())
     };
     let keyed: Vec<(String, Bytes)> = waiting.iter().map(record).collect();
@@ -141,19 +142,24 @@
     entries: &[Entry],
 ) -> Result<(), StoreError> {
     let mut records = Vec::new();
-    for Entry { slot, outcome, .. } in entries {
+    for Entry { sample_id, outcome, .. } in entries {
         // Each append uses a new key: if the same key were appended twice, the
         // store would keep only the later record, and the result would change
         // its position.
-        let (key, value) = batch::outcome_record(&slot.job, &shared.unique_key_part(), outcome);
+        let (key, value) =
+            batch::outcome_record(&sample_id.job, &shared.unique_key_part(), outcome);
         records.push((Some(key), value));
     }
     let (at, purpose) = (Partition::at(JOBS, part), Purpose::Outcome);
     let append = Append { part: at, records, expected_end: None, purpose };
     let appended = shared.append(append).await?;
-    for (Entry { slot, outcome, .. }, offset) in entries.iter().zip(appended.offset..) {
+    for (Entry { sample_id, outcome, .. }, offset) in entries.iter().zip(appended.offset..) {
         let ending = if outcome.abandoned { "given up" } else { "whole" };
-        log::debug!("sample {}/{} is {ending}: record {offset} or after", slot.job, slot.at);
+        log::debug!(
+            "sample {}/{} is {ending}: record {offset} or after",
+            sample_id.job,
+            sample_id.index
+        );
     }
     Ok(())
 }
@@ -173,8 +179,8 @@
     let mut entries = Vec::new();
     let mut bytes = 0;
     while let Some(entry) = queue.front() {
-        let job = control.partitions[part].index.jobs.get(&entry.slot.job);
-        if job.is_none_or(|job| job.done[entry.slot.at]) {
+        let job = control.partitions[part].index.jobs.get(&entry.sample_id.job);
+        if job.is_none_or(|job| job.done[entry.sample_id.index]) {
             queue.pop_front();
             continue;
         }
@@ -189,7 +195,7 @@
 
 /// A text that has grown since it was last stored.
 struct GrownText {
-    slot: Slot,
+    sample_id: SampleId,
     sample: String,
     last: u64,
     versions: Vec<u64>,
@@ -217,7 +223,7 @@
         };
         let mut control = shared.control.borrow_mut();
         for (grown, stored) in grown_texts.into_iter().zip(saved) {
-            let text = control.partial_texts.get_mut(&grown.slot);
+            let text = control.partial_texts.get_mut(&grown.sample_id);
             // Skip a text that was restarted from scratch in the meantime,
             // whose data differs, and one that was stored in the meantime:
             // a stopping instance saves texts concurrently with the regular
@@ -242,7 +248,7 @@
     grown_texts: &[GrownText],
 ) -> Result<Vec<Vec<TextRef>>, StoreError> {
     let key = |grown: &GrownText| {
-        batch::partial_text_key(&grown.slot.job, &shared.unique_key_part(), &grown.sample)
+        batch::partial_text_key(&grown.sample_id.job, &shared.unique_key_part(), &grown.sample)
     };
     let keys: Vec<String> = grown_texts.iter().map(key).collect();
     let records = keys.iter().zip(grown_texts);
@@ -261,7 +267,7 @@
         texts.push(TextRef::new(number(part), offset, key.clone(), &grown.new_text));
         let (last, versions) = (grown.last, grown.versions.clone());
         let partial = Partial { last, texts, versions };
-        let (key, value) = batch::partial_record(&grown.slot.job, &grown.sample, &partial);
+        let (key, value) = batch::partial_record(&grown.sample_id.job, &grown.sample, &partial);
         records.push((Some(key), value));
         stored.push(partial.texts);
     }
@@ -279,13 +285,14 @@
     let store = &shared.settings.store;
     let mut grown_texts = Vec::new();
     let mut bytes = 0;
-    for (slot, text) in &control.partial_texts {
-        if shared.partition_of(&slot.job) != part || text.last_event < text.saved_event + min_events
+    for (sample_id, text) in &control.partial_texts {
+        if shared.partition_of(&sample_id.job) != part
+            || text.last_event < text.saved_event + min_events
         {
             continue;
         }
-        let job = control.partitions[part].index.jobs.get(&slot.job);
-        let Some(job) = job.filter(|_| control.is_sample_open(part, slot)) else {
+        let job = control.partitions[part].index.jobs.get(&sample_id.job);
+        let Some(job) = job.filter(|_| control.is_sample_open(part, sample_id)) else {
             continue;
         };
         let new_text = &text.data.as_bytes()[text.stored_bytes..];
@@ -298,8 +305,8 @@
             break;
         }
         grown_texts.push(GrownText {
-            slot: slot.clone(),
-            sample: job.manifest.samples[slot.at].id.clone(),
+            sample_id: sample_id.clone(),
+            sample: job.manifest.samples[sample_id.index].id.clone(),
             last: text.last_event,
             versions: text.versions.iter().copied().collect(),
             stored: text.stored.clone(),
