--- a/crates/hollywell/tests/fleet.rs
+++ b/crates/hollywell/tests/fleet.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 
 use hollywell::core::{
-    fleet::{AnnounceOutcome, Announcement, Fleet, EXPIRY_GRACE_MS},
+    fleet::{AnnounceOutcome, Announcement, EXPIRY_GRACE_MS, Fleet},
     time::Time,
 };
 
