--- a/crates/hollywell/tests/near.rs
+++ b/crates/hollywell/tests/near.rs
@@ -43,7 +43,7 @@
 }
 
 fn work(job: &str, samples: usize) -> JobSpec {
-    let item = |_| SampleSpec { group: "g".into(), tokens: 500, carried: false };
+    let item = |_| SampleSpec { group: "g".into(), tokens: 500, resumed: false };
     JobSpec {
         job: job.into(),
         part: 0,
