--- a/crates/hollywell/src/entry/reader.rs
+++ b/crates/hollywell/src/entry/reader.rs
@@ -1,7 +1,7 @@
-//! All reads of the store by one instance: how many at a time, how long each
-//! is waited for, what is kept of one that failed.
+//! Reads of the store by one instance: limits their concurrency, adapts their
+//! timeout, and resumes those that failed half-way.
 //!
-//! What it leaves out: what becomes of the records ([`crate::entry::follow`]).
+//! The records are processed elsewhere ([`crate::entry::follow`]).
 
 use std::{
     cell::{Cell, RefCell},
@@ -21,13 +21,13 @@
     entry::store::{Client, Newest, Page, Partition, Read, Records, StoreError, WithIdleTimeout},
 };
 
-/// Pages of newest records that an instance asks for at a time. Each is up
-/// to 1 MB, and all instances start together after an outage: with one each
-/// the store is kept busy, and nobody's answer waits behind seven of
-/// everybody's.
+/// Pages of newest records that an instance requests concurrently. A page is up
+/// to 1 MB, and all instances start together after an outage. One page each
+/// keeps the store busy; with more, each response would queue behind up to
+/// seven of every other instance.
 const MAX_CONCURRENT_PAGES: usize = 1;
 
-/// What reads the store.
+/// Reads the store.
 #[derive(Debug)]
 pub struct Reader {
     store: Client,
@@ -38,7 +38,7 @@
 }
 
 impl Reader {
-    /// A reader that has seen nothing yet.
+    /// A reader without any observed response times.
     #[must_use]
     pub fn new(store: Client) -> Reader {
         Reader {
@@ -50,12 +50,13 @@
         }
     }
 
-    /// Notes how many instances share the store.
+    /// Sets the number of instances that share the store, which scales the
+    /// back-off.
     pub fn set_instance_count(&self, instances: usize) {
         self.instance_count.set(instances);
     }
 
-    /// Notes whether the store answers nobody here.
+    /// Sets whether the store is unavailable to this instance.
     pub fn set_store_unavailable(&self, unavailable: bool) {
         self.store_unavailable.set(unavailable);
         if unavailable {
@@ -85,7 +86,7 @@
         self.call(Duration::ZERO, members).await
     }
 
-    /// Reads a page of the newest record of each key, after a key.
+    /// Reads the page of newest records that begins after a key.
     ///
     /// # Errors
     ///
@@ -95,20 +96,20 @@
         part: &Partition,
         after: Option<String>,
     ) -> Result<Page, StoreError> {
-        let _turn = self.pages.acquire().await.ok();
+        let _permit = self.pages.acquire().await.ok();
         let read = (part.clone(), after);
         let page = |idle_timeout| (self.store.newest)(WithIdleTimeout { read, idle_timeout });
         self.call(Duration::ZERO, page).await
     }
 
-    /// Reads on in all newest records of a partition, from where an earlier
-    /// attempt failed; returns whether all are read. Starting over after
-    /// each failure was tried: with many instances at a store that refuses
-    /// what exceeds its bandwidth none of them ever got to the end.
+    /// Reads the remaining newest records of a partition, from the page at
+    /// which an earlier attempt failed. Starting over after each failure does
+    /// not work: with many instances and a store that refuses what exceeds its
+    /// bandwidth, none of them ever reached the end.
     ///
     /// # Errors
     ///
-    /// A page's [`StoreError`]; what was read so far stays in `newest`.
+    /// The [`StoreError`] of a page; what was read so far stays in `newest`.
     pub async fn resume_newest(
         &self,
         part: &Partition,
@@ -116,24 +117,25 @@
     ) -> Result<(), StoreError> {
         while !newest.is_done() {
             let page = self.newest(part, newest.after().cloned()).await?;
-            newest.take(page);
+            newest.add_page(page);
         }
         Ok(())
     }
 
-    /// Pauses after a call that failed, the last of so many in a row: up
-    /// to [`patience::pause_most_ms`], so that instances that failed together
-    /// do not return together.
+    /// Waits after a failed call; `failures` is the number of failures in a
+    /// row. The time is random, up to [`patience::pause_most_ms`], so that
+    /// instances that failed together do not retry together.
     pub async fn back_off(&self, failures: u32) {
-        let most = patience::pause_most_ms(
+        let max_ms = patience::pause_most_ms(
             failures,
             self.instance_count.get(),
             self.store_unavailable.get(),
         );
-        sleep(Duration::from_millis(rand::random_range(0..=most))).await;
+        sleep(Duration::from_millis(rand::random_range(0..=max_ms))).await;
     }
 
-    /// Makes a call with the silence that is borne now, and learns from it.
+    /// Makes a call with the current idle timeout, and adapts the timeout to
+    /// its outcome.
     async fn call<T>(
         &self,
         wait: Duration,
@@ -145,8 +147,8 @@
         let took = started.elapsed();
         let mut timeout = self.timeout.borrow_mut();
         match &answer {
-            // An answer that came before its time waited for a record: how
-            // long it took beyond that is not known.
+            // A response before `wait` has passed is left out: the store
+            // waited for a record, for an unknown part of that time.
             Ok(_) if took >= wait => {
                 let beyond = took.saturating_sub(wait).as_millis();
                 timeout.answered(u64::try_from(beyond).unwrap_or(u64::MAX));
--- a/crates/hollywell/src/entry/shared.rs
+++ b/crates/hollywell/src/entry/shared.rs
@@ -1,5 +1,5 @@
-//! What all tasks of an instance share, and the one place where events are
-//! taken in and effects are carried out.
+//! State shared by all tasks of an instance. [`Shared::handle_event`] is the
+//! only place where the dispatch reducer is stepped and its effects applied.
 
 use std::{
     cell::{Cell, RefCell},
@@ -53,43 +53,44 @@
 
 /// The topic that holds batch jobs.
 pub const JOBS: &str = "keyed.jobs";
-/// The topic that holds the whole texts of samples.
+/// The topic that holds the complete texts of samples.
 pub const TEXTS: &str = "keyed.texts";
-/// Partitions of each in use. One would do at today's size; several keep one
-/// big submission from holding up another job's results.
+/// Partitions used of each of the two topics. One would carry today's load;
+/// with several, a large submission does not delay the results of other jobs.
 pub const JOB_PARTS: u32 = 4;
-/// A partition of jobs that was not read for so long while the store answers
-/// other calls is out of date, in milliseconds: its job may have been ended,
-/// and an ended job's samples may go nowhere three seconds after that.
+/// Age in milliseconds at which the local state of a job partition counts as
+/// stale while the store answers other calls. One of its jobs may have been
+/// ended meanwhile, and no sample of a job may be sent later than three
+/// seconds after the job's end.
 const STALE_MS: u64 = 2_000;
-/// A store that failed for so long is away, in milliseconds; one refused
-/// call is not an outage.
-const AWAY_MS: u64 = 700;
+/// Time without a successful call, in milliseconds, after which the store
+/// counts as unavailable; one refused call is not an outage.
+const UNAVAILABLE_MS: u64 = 700;
 
-/// One partition of batch jobs as this instance has folded it.
+/// One partition of batch jobs, folded from the store.
 #[derive(Debug, Default)]
 pub struct JobPartition {
-    /// The jobs.
+    /// The jobs of the partition.
     pub index: Book,
-    /// The logs of jobs and of texts.
+    /// Sizes of the partition's logs: of jobs, and of texts.
     pub logs: [room::Log; 2],
     /// The offset to read next.
     pub next: u64,
-    /// The partition was read from its beginning.
+    /// The partition was read from its beginning at least once.
     pub loaded: bool,
-    /// When the last read to its end was sent; `None` if the store has not
-    /// answered one yet.
+    /// When the last read that reached the end was sent; `None` before the
+    /// store has answered one.
     pub read_at: Option<Time>,
-    /// The reducer was told that it is out of date.
+    /// The reducer was last notified that the partition is stale.
     pub stale: bool,
-    /// What was written to the logs when that was last noted.
-    noted: Written,
+    /// Totals of the index when `logs` was last updated.
+    logged: Written,
 }
 
 impl JobPartition {
-    /// Whether what is known of the partition is out of date. While the store
-    /// answers nobody here, nothing can be ended here either, and work that
-    /// is known goes on; but not what only another instance has told of.
+    /// Whether the local state is stale. While the store is unavailable, no
+    /// end can be stored through this instance either, so known work goes on;
+    /// work known only from another instance's snapshot does not start.
     fn is_stale(&self, now: Time, fleet: &Fleet) -> bool {
         match self.read_at {
             None => self.loaded,
@@ -97,66 +98,70 @@
         }
     }
 
-    /// Notes how much was written to the logs since the last note.
-    fn note(&mut self, now: Time) {
+    /// Adds what was written since the last call to the sizes of the logs.
+    fn update_logs(&mut self, now: Time) {
         let written = self.index.written;
-        let before = std::mem::replace(&mut self.noted, written);
+        let before = std::mem::replace(&mut self.logged, written);
         self.logs[0].note(now, self.next, written.jobs - before.jobs);
         self.logs[1].note(now, written.texts_end, written.texts - before.texts);
     }
 }
 
-/// Mutable state. Borrowed for the length of one step, never across a wait.
+/// The control state of one instance. Borrowed for one step at a time, never
+/// across an await.
 #[derive(Debug)]
 pub struct Control {
-    /// The configuration in force, once one was read.
+    /// The configuration in force, once one has been read.
     pub configuration: Option<Rc<Plan>>,
-    /// When the operator's topic was as this instance knows it; `None` before
-    /// it was read.
+    /// The time up to which the operator's topic is known; `None` before it
+    /// was read.
     pub configuration_read_at: Option<Time>,
-    /// The targets.
+    /// The known targets.
     pub fleet: Fleet,
-    /// What was seen of them.
+    /// Observed load and faults of the targets.
     pub observations: Sights,
-    /// What runs where.
+    /// Samples and the targets that they run on.
     pub dispatch: dispatch::State,
-    /// Ends that are not in the store yet.
+    /// Requested ends of jobs that are not stored yet.
     pub ending: ending::State,
-    /// What is known against requests.
+    /// Requests suspected of ending their targets.
     pub poison: poison::State,
-    /// What others know against requests was read.
+    /// The suspects recorded by other instances were read.
     pub poison_loaded: bool,
-    /// What is known of the store's room.
+    /// Estimated usage of the store's capacity.
     pub capacity: room::State,
-    /// Logs that others write to: the operator, the targets, all instances.
+    /// Sizes of the logs other than those of jobs and texts, which are written
+    /// by the operator, the targets and all instances.
     pub other_logs: HashMap<Partition, room::Log>,
     /// Batch jobs, by partition.
     pub partitions: Vec<JobPartition>,
-    /// Newest weights of each model, and how much of it is asked for.
+    /// The newest version of each model's weights, and the demand for it.
     pub models: Models,
-    /// Text of samples that are not listed.
+    /// Partial texts of samples that have no stored result yet.
     pub partial_texts: HashMap<Slot, GeneratedText>,
-    /// Bundles of samples that this instance runs.
+    /// Bundles of samples that this instance runs, by job and bundle number.
     pub bundles: HashMap<(String, usize), Rc<Bundle>>,
-    /// Runs in flight.
+    /// Tasks of the runs in flight.
     pub runs: HashMap<Run, AbortHandle>,
-    /// Jobs that wait for a configuration that has their route.
+    /// Jobs that wait for a configuration with a route for them.
     pub unopened_jobs: Vec<String>,
-    /// Live instances.
+    /// The live instances.
     pub roster: Roster,
-    /// How many of them there are, as far as the store shows.
+    /// The number of live instances, as far as the store shows it.
     pub census: Census,
-    /// Since when it has failed, if the last call failed.
+    /// Time of the first failure since the store's last successful call;
+    /// `None` if the last call succeeded.
     pub store_failing_since: Option<Time>,
-    /// Targets were read to the end of their topic.
+    /// The targets' topic was read to its end.
     pub fleet_loaded: bool,
     /// The instance is stopping.
     pub stopping: bool,
 }
 
 impl Control {
-    /// Whether a sample, whose job lies in a partition, is still to be
-    /// listed: its job is there, and no end of it was read or asked for.
+    /// Whether a sample still needs a result: its job exists in the partition
+    /// `part`, lists no result of the sample, and its end was neither read nor
+    /// requested.
     #[must_use]
     pub fn is_sample_open(&self, part: usize, slot: &Slot) -> bool {
         let job = self.partitions[part].index.jobs.get(&slot.job);
@@ -164,14 +169,15 @@
         open && !self.ending.holds(&slot.job)
     }
 
-    /// Whether what is known of a partition of jobs is out of date.
+    /// Whether the local state of a job partition is stale.
     #[must_use]
     pub fn is_stale(&self, now: Time, part: usize) -> bool {
         self.partitions[part].is_stale(now, &self.fleet)
     }
 
-    /// Which partitions became out of date or are so no longer. It is asked before each event, not now and then: an instance that
-    /// wakes up from a pause must not act on what it knew before.
+    /// The partitions that became stale or current since the last call. This
+    /// is checked before each event and not periodically: a process that
+    /// resumes after a pause must not act on outdated state.
     fn staleness(&mut self, now: Time) -> Vec<Event> {
         let mut changed = Vec::new();
         for (part, partition) in self.partitions.iter_mut().enumerate() {
@@ -181,7 +187,9 @@
                 if stale && partition.read_at.is_none() {
                     log::debug!("jobs of partition {part} are not known to be current yet");
                 } else if stale {
-                    log::info!("jobs of partition {part} are out of date: nothing of them starts");
+                    log::info!(
+                        "jobs of partition {part} are out of date: none of their samples starts"
+                    );
                 }
             }
         }
@@ -189,123 +197,126 @@
     }
 }
 
-/// What all tasks share.
+/// State shared by all tasks of an instance.
 #[derive(Debug)]
 pub struct Shared {
     /// Settings.
     pub settings: Settings,
-    /// How the platform spells things.
+    /// Encoders and decoders of the platform's formats.
     pub codec: Codec,
-    /// The store, for what is not a read.
+    /// The store's client, for calls other than reads.
     pub store: Client,
-    /// Reads of the store.
+    /// Reads the store, with limits on concurrency and time.
     pub reader: Reader,
-    /// What others follow through this instance.
+    /// Records that followers read through this instance.
     pub feed: Feed,
-    /// What others of the failure domain may take instead of reading it.
+    /// Snapshots of partitions that other instances of the failure domain may
+    /// take instead of reading the store.
     pub relay: Relay,
     /// Connections to targets and peers.
     pub pool: Rc<Pool>,
     /// The process's clock.
     pub clock: Clock,
-    /// This run of the instance, as others name it.
+    /// The identifier of this run of the instance, as used in the group.
     pub instance_id: String,
-    /// Tells incarnations apart in keys.
+    /// A hash of `instance_id` that keeps keys of different incarnations apart.
     pub writer_id: String,
-    /// Counter for keys.
+    /// Number of unique key parts issued so far.
     pub keys_issued: Cell<u64>,
-    /// What is counted and timed.
+    /// Metrics.
     pub meters: Meters,
-    /// Mutable state.
+    /// Control state.
     pub control: RefCell<Control>,
-    /// Told when the operator's topic was read, here or by a peer.
+    /// Notified when the operator's topic was read, here or by a peer.
     pub configuration_read: Notify,
-    /// Told when the group of instances changed.
+    /// Notified when the group of instances changed.
     pub group_changed: Notify,
-    /// What others are told of the group.
+    /// The state behind answers to peers that ask for the members.
     pub membership: member::Membership,
-    /// Told when a job was accepted in a partition of jobs.
+    /// Notified when a job was accepted, by partition.
     pub job_accepted: Vec<Notify>,
-    /// Callers that wait here for results of a partition.
+    /// Number of callers that wait here for results, by partition.
     pub result_waiters: Vec<Cell<usize>>,
-    /// Told when a partition of jobs changed.
+    /// Notified when records of a job partition were applied, by partition.
     pub partition_changed: Vec<Notify>,
-    /// Results on their way to the store, by partition.
+    /// Results to be appended to the store, by partition.
     pub outbox: Vec<outbox::Outbox>,
-    /// Whole texts that were read or written lately.
+    /// Complete texts that were read or written recently.
     pub text_cache: TextCache,
-    /// What is known against requests and not in the store yet.
+    /// Suspects that are not stored yet.
     pub unsaved_suspects: suspects::UnsavedSuspects,
-    /// Turns to try suspects that this instance gives out.
+    /// Permits for isolated probes of suspects that this instance issues.
     pub probe_permits: RefCell<Turns>,
-    /// What is counted here of organisations' requests.
+    /// Requests of organisations counted here.
     pub usage: usage::Usage,
-    /// Records that nothing may name.
+    /// Records that were appended, or may have been, without a reference.
     pub orphans: garbage::Orphans,
-    /// Turns true when the instance stops.
+    /// Becomes `true` when the instance stops.
     pub stop: watch::Sender<bool>,
 }
 
 impl Shared {
-    /// The instant now.
+    /// The current time.
     #[must_use]
     pub fn now(&self) -> Time {
         self.clock.now()
     }
 
-    /// The partition of a job.
+    /// The partition number of a job, by a hash of its id.
     #[must_use]
     pub fn partition_of(&self, job: &str) -> usize {
         let parts = u64::from(JOB_PARTS.min(self.settings.store.parts).max(1));
         usize::try_from(xxhash_rust::xxh3::xxh3_64(job.as_bytes()) % parts).unwrap_or_default()
     }
 
-    /// A key part that no other record has.
+    /// A part of a key that occurs in no other record.
     #[must_use]
     pub fn unique_key_part(&self) -> String {
         self.keys_issued.set(self.keys_issued.get() + 1);
         format!("{}.{}", self.writer_id, self.keys_issued.get())
     }
 
-    /// Notes whether a call of the store went well.
-    pub fn record_store_result(&self, well: bool) {
-        self.meters.store_calls.with_label_values(&[if well { "yes" } else { "no" }]).inc();
+    /// Records whether a call of the store succeeded, and updates whether the
+    /// store counts as unavailable.
+    pub fn record_store_result(&self, ok: bool) {
+        self.meters.store_calls.with_label_values(&[if ok { "yes" } else { "no" }]).inc();
         let now = self.now();
         let mut control = self.control.borrow_mut();
-        if well {
+        if ok {
             let since = control.store_failing_since.take();
             control.fleet.store(now, false);
             self.reader.set_store_unavailable(false);
-            if since.is_some_and(|since| now.since(since) > AWAY_MS) {
+            if since.is_some_and(|since| now.since(since) > UNAVAILABLE_MS) {
                 log::info!("store regained");
             }
             return;
         }
         let since = *control.store_failing_since.get_or_insert(now);
-        let away = now.since(since) > AWAY_MS;
-        if away && !control.fleet.store_away {
-            log::warn!("store lost: no good answer for {} ms", now.since(since));
+        let unavailable = now.since(since) > UNAVAILABLE_MS;
+        if unavailable && !control.fleet.store_away {
+            log::warn!("store lost: no successful call for {} ms", now.since(since));
         }
-        control.fleet.store(now, away);
-        self.reader.set_store_unavailable(away);
+        control.fleet.store(now, unavailable);
+        self.reader.set_store_unavailable(unavailable);
     }
 
-    /// Appends records, counts them, and notes whether the store is there.
-    /// All appends go through here.
+    /// Appends records if the capacity left allows it, counts them, and
+    /// records whether the store is available. All appends go through here.
     ///
     /// # Errors
     ///
-    /// The store's [`StoreError`].
+    /// The store's error, or [`StoreError::Full`] without a call if what is
+    /// left is reserved for other purposes.
     pub async fn append(&self, append: Append) -> Result<Appended, StoreError> {
-        let (purpose, bytes) = (append.purpose.as_str(), append.bytes());
-        let stored = append.stored();
+        let (purpose, bytes) = (append.purpose.as_str(), append.payload_bytes());
+        let stored = append.stored_bytes();
         let allowed = self.control.borrow().capacity.allows(self.now(), append.purpose, stored);
         if !allowed {
             self.meters.failed_appends.with_label_values(&[purpose, "kept_back"]).inc();
             return Err(StoreError::Full);
         }
         let appended = (self.store.append)(append).await;
-        // A store that is full, or has another end, is there all the same.
+        // A store that is full, or whose partition ends elsewhere, is available.
         self.record_store_result(matches!(
             appended,
             Ok(_) | Err(StoreError::Full | StoreError::EndMismatch(_))
@@ -327,16 +338,15 @@
         appended
     }
 
-    /// Forgets what was believed of a target that has started again, which
-    /// was at an address before: what was seen of it, and its connections. Its
-    /// runs are moved by the reducer.
+    /// Discards the observations and connections of a target that has
+    /// restarted; `address` is where it was before. The reducer moves its runs.
     pub fn reset_target(&self, control: &mut Control, id: &str, address: std::net::SocketAddr) {
-        log::info!("target {id}, at {address}, has started again");
+        log::info!("target {id}, at {address}, has restarted");
         control.observations.forget(id);
         self.pool.forget(address);
     }
 
-    /// Takes an event in and carries its effects out.
+    /// Steps the dispatch reducer with an event and applies its effects.
     pub fn handle_event(self: &Rc<Shared>, event: &Event) {
         let now = self.now();
         let effects = {
@@ -389,7 +399,8 @@
         }
     }
 
-    /// Counts what was read of a log that is not of jobs: it takes room too.
+    /// Adds records read from a log other than those of jobs to the estimate of
+    /// the store's usage: they take capacity too.
     pub fn account_for_read(&self, part: &Partition, read: &Records) {
         let bytes = |record: &Record| {
             (record.key.len() + record.value.as_ref().map_or(0, Bytes::len)) as u64
@@ -402,7 +413,8 @@
         control.other_logs.entry(part.clone()).or_default().note(now, last, written);
     }
 
-    /// Folds records of a partition of jobs, skipping those folded before.
+    /// Folds records of a job partition, skipping those folded before; `end` is
+    /// the offset up to which the partition is known to be read.
     pub fn apply_records(self: &Rc<Shared>, part: usize, records: &[Record], end: u64) {
         let mut changes = Vec::new();
         let now = self.now();
@@ -417,7 +429,7 @@
             let last = records.last().map_or(0, |record| record.offset + 1);
             partition.next = partition.next.max(end).max(last);
             partition.loaded = true;
-            partition.note(now);
+            partition.update_logs(now);
         }
         for change in changes {
             self.apply_change(part, change);
@@ -425,17 +437,18 @@
         self.partition_changed[part].notify_waiters();
     }
 
-    /// Drops jobs that are not among the newest records: theirs were dropped
-    /// while this instance could not read, and the log that told so is gone.
+    /// Removes jobs that have no record in a snapshot: their records were
+    /// deleted while this instance could not read, and the tombstones were
+    /// trimmed from the log.
     pub fn remove_missing_jobs(self: &Rc<Shared>, part: usize, newest: &Records) {
         let read = newest.records.iter().map(|record| record.key.as_str());
         let keys: HashSet<&str> = read.chain(newest.beyond.iter().map(String::as_str)).collect();
-        let dropped = {
+        let deleted = {
             let partition = &mut self.control.borrow_mut().partitions[part];
             partition.index.retain(newest.end, |head| keys.contains(head))
         };
-        for job in dropped {
-            log::info!("job {job} was dropped while nothing was read here");
+        for job in deleted {
+            log::info!("job {job} was deleted while the partition was not read here");
             self.apply_change(part, Change::Dropped(job));
         }
     }
@@ -453,9 +466,9 @@
         }
     }
 
-    /// Whether a sample may be sent to a target at this moment, by what is
-    /// known and how old that is. It is asked last of all before a send:
-    /// between a decision and its send there may be a pause of any length.
+    /// Whether a sample may be sent to a target now: it still needs a result,
+    /// and the state of its partition is not stale. Checked immediately before
+    /// a send, as any length of time may have passed since the decision.
     #[must_use]
     pub fn may_send(&self, slot: &Slot) -> bool {
         let now = self.now();
@@ -464,14 +477,14 @@
         control.is_sample_open(part, slot) && !control.is_stale(now, part)
     }
 
-    /// Whether a target's failure domain may get something new. It is asked
-    /// last before a send, as [`Shared::may_send`] is.
+    /// Whether a target's failure domain may get new requests, that is, is not
+    /// evacuated. Checked immediately before a send, as [`Shared::may_send`].
     #[must_use]
     pub fn may_send_to(&self, target: &Announcement) -> bool {
         !self.control.borrow().fleet.evacuated().contains(&target.domain)
     }
 
-    /// Runs nothing more of a job, and forgets what only its runs need.
+    /// Stops all runs of a job and discards what only they need.
     pub fn close_job(self: &Rc<Shared>, job: &str) {
         {
             let mut control = self.control.borrow_mut();
@@ -481,25 +494,25 @@
         self.handle_event(&Event::Closed(job.to_owned()));
     }
 
-    /// Tells the reducer how far a sample's kept text goes, where that is
-    /// further than this instance's own.
+    /// Notifies the reducer if the stored partial text of a sample is longer
+    /// than this instance's own.
     fn partial_text_grew(self: &Rc<Shared>, part: usize, slot: Slot) {
-        let kept = {
+        let stored = {
             let control = self.control.borrow();
             let Some(own) = control.partial_texts.get(&slot).map(|text| text.last_event) else {
                 return;
             };
             let job = control.partitions[part].index.jobs.get(&slot.job);
-            let kept = job.and_then(|job| job.partials.get(&slot.at));
-            kept.map(|kept| kept.last).filter(|last| *last > own)
+            let partial = job.and_then(|job| job.partials.get(&slot.at));
+            partial.map(|partial| partial.last).filter(|last| *last > own)
         };
-        if let Some(last) = kept.and_then(|last| u32::try_from(last).ok()) {
+        if let Some(last) = stored.and_then(|last| u32::try_from(last).ok()) {
             self.handle_event(&Event::Ahead { slot, last });
         }
     }
 
-    /// Hands a job to the reducer, or keeps it until a configuration with
-    /// its route is read.
+    /// Hands a job to the reducer, or keeps it until a configuration with a
+    /// route for it is read.
     pub fn open_job(self: &Rc<Shared>, part: usize, id: String) {
         let work = {
             let mut control = self.control.borrow_mut();
@@ -509,8 +522,10 @@
             if job.ended || job.is_whole() || control.ending.holds(&id) {
                 return;
             }
-            let plan = control.configuration.clone();
-            let route = plan.as_ref().and_then(|plan| plan.route(&job.head.host, &job.head.path));
+            let configuration = control.configuration.clone();
+            let route = configuration
+                .as_ref()
+                .and_then(|configuration| configuration.route(&job.head.host, &job.head.path));
             let Some(route) = route.filter(|route| route.repeat == Repeat::Batch) else {
                 control.unopened_jobs.push(id);
                 return;
@@ -537,7 +552,7 @@
         self.handle_event(&Event::Opened(work));
     }
 
-    /// Tries again to open jobs whose route was not known.
+    /// Opens the jobs that waited for a route, as far as one exists now.
     pub fn open_waiting_jobs(self: &Rc<Shared>) {
         let waiting = std::mem::take(&mut self.control.borrow_mut().unopened_jobs);
         for job in waiting {
@@ -546,7 +561,7 @@
     }
 }
 
-/// Time of day, in milliseconds since 1970.
+/// System time, in milliseconds since the Unix epoch.
 #[must_use]
 pub fn unix_ms() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
--- a/crates/hollywell/src/entry/store.rs
+++ b/crates/hollywell/src/entry/store.rs
@@ -1,8 +1,7 @@
-//! The platform's store as the product sees it: a log with partitions, keyed
-//! topics and groups, behind closures that an adapter fills in.
+//! Interface of the platform's store: a partitioned log with keyed (compacted)
+//! topics and groups. An adapter provides the calls as closures.
 //!
-//! What it leaves out: retries and their pace, which differ by use and stand
-//! where the calls are made.
+//! Retries and back-off differ by use and are left to the callers.
 
 use std::{fmt, future::Future, pin::Pin, rc::Rc, time::Duration};
 
@@ -14,26 +13,26 @@
     room::{LIVE_OVERHEAD, LOG_OVERHEAD, Use},
 };
 
-/// A future that stays on its thread.
+/// A boxed future that need not be `Send`.
 pub type LocalFuture<T> = Pin<Box<dyn Future<Output = T>>>;
 
-/// Why a call failed.
+/// Why a call of the store failed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StoreError {
-    /// The store did nothing: it said so, or was not reached.
+    /// The call had no effect: the store refused it, or was not reached.
     Refused(String),
-    /// The store has no room for what was to be appended; it did nothing.
+    /// The store has no capacity left for the append, which had no effect.
     Full,
-    /// The answer to a read did not begin, or stopped, for longer than is
-    /// borne; its connection was given up.
+    /// The response to a read did not begin, or stalled, for longer than the
+    /// idle timeout; its connection was closed.
     TimedOut,
-    /// No answer came. The call may have been executed, or may be later.
+    /// No response arrived. The call may have been executed, or may be later.
     OutcomeUnknown(String),
-    /// The partition does not end where the caller said; its end.
+    /// The partition does not end at the expected offset; its actual end.
     EndMismatch(u64),
-    /// The records asked for are gone; the first that is left.
+    /// The requested records were trimmed; the first offset that is left.
     Trimmed(u64),
-    /// The store's answer makes no sense.
+    /// The store's response cannot be decoded.
     Malformed(String),
 }
 
@@ -54,7 +53,7 @@
 impl std::error::Error for StoreError {}
 
 impl StoreError {
-    /// Its kind's name in metrics.
+    /// Name of the error in metrics.
     #[must_use]
     pub const fn as_str(&self) -> &'static str {
         match self {
@@ -68,14 +67,14 @@
         }
     }
 
-    /// Whether the store said, or cannot but, have done nothing.
+    /// Whether it is certain that the call had no effect.
     #[must_use]
     pub const fn is_not_applied(&self) -> bool {
         matches!(self, StoreError::Refused(_) | StoreError::Full | StoreError::EndMismatch(_))
     }
 }
 
-/// A topic's partition.
+/// A partition of a topic.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Partition {
     /// The topic.
@@ -85,66 +84,66 @@
 }
 
 impl Partition {
-    /// Names a partition.
+    /// The partition `number` of a topic.
     #[must_use]
     pub fn new(topic: &str, number: u32) -> Partition {
         Partition { topic: topic.to_owned(), number }
     }
 
-    /// Names a partition by its position in a list of them.
+    /// The partition of a topic at a position in a list of partitions.
     #[must_use]
     pub fn at(topic: &str, position: usize) -> Partition {
         Partition::new(topic, u32::try_from(position).unwrap_or_default())
     }
 }
 
-/// A read, and how long its answer may be silent: before it begins, beyond
-/// what it was asked to wait, and between any two of its pieces. An answer
-/// that goes on coming is never given up, since all of it was sent for nothing
-/// then, and would be asked for again.
+/// A read with an idle timeout. It limits the time before the response begins,
+/// beyond what the store was asked to wait, and the time between any two of its
+/// chunks. There is no limit on the total: a response that keeps arriving is
+/// never cancelled, since all of it would have to be sent again.
 #[derive(Clone, Debug)]
 pub struct WithIdleTimeout<T> {
-    /// What is read.
+    /// The read.
     pub read: T,
-    /// How long the answer may be silent.
+    /// How long the response may make no progress.
     pub idle_timeout: Duration,
 }
 
-/// Records to append, all or none.
+/// Records to append atomically.
 #[derive(Clone, Debug)]
 pub struct Append {
-    /// Where.
+    /// The partition to append to.
     pub part: Partition,
     /// Keys (for keyed topics) and values.
     pub records: Vec<(Option<String>, Bytes)>,
-    /// Append only if the partition ends here.
+    /// Append only if the partition ends at this offset.
     pub expected_end: Option<u64>,
-    /// What it is for.
+    /// What the records are for.
     pub purpose: Use,
 }
 
 impl Append {
-    /// What it adds to what the store holds: a record of a key counts in the
-    /// log and as the newest of its key.
+    /// Bytes that the append adds to the store's usage. A keyed record counts
+    /// twice: in the log, and as the newest record of its key.
     #[must_use]
-    pub fn stored(&self) -> u64 {
-        let one = |(key, value): &(Option<String>, Bytes)| {
+    pub fn stored_bytes(&self) -> u64 {
+        let record_bytes = |(key, value): &(Option<String>, Bytes)| {
             let bytes = (key.as_ref().map_or(0, String::len) + value.len()) as u64;
             let newest = key.is_some() && !value.is_empty();
             bytes + LOG_OVERHEAD + if newest { bytes + LIVE_OVERHEAD } else { 0 }
         };
-        self.records.iter().map(one).sum()
+        self.records.iter().map(record_bytes).sum()
     }
 
-    /// The bytes of its keys and values.
+    /// Bytes of its keys and values.
     #[must_use]
-    pub fn bytes(&self) -> usize {
-        let key = |key: &Option<String>| key.as_ref().map_or(0, String::len);
-        self.records.iter().map(|(name, value)| key(name) + value.len()).sum()
+    pub fn payload_bytes(&self) -> usize {
+        let key_bytes = |key: &Option<String>| key.as_ref().map_or(0, String::len);
+        self.records.iter().map(|(key, value)| key_bytes(key) + value.len()).sum()
     }
 }
 
-/// Where records were appended.
+/// Offsets of appended records.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Appended {
     /// Offset of the first.
@@ -156,13 +155,13 @@
 /// A read of a partition.
 #[derive(Clone, Debug)]
 pub struct Read {
-    /// Where.
+    /// The partition to read.
     pub part: Partition,
     /// The first offset wanted.
     pub from: u64,
-    /// How long to wait for a record; zero for not at all.
+    /// How long the store may wait for a record; zero to return immediately.
     pub wait: Duration,
-    /// Most KB of records wanted; the store's own limit if not given.
+    /// Maximum KB of records wanted; the store's own limit if `None`.
     pub max_kb: Option<usize>,
 }
 
@@ -173,17 +172,17 @@
     pub end: u64,
     /// The records, by offset.
     pub records: Vec<Record>,
-    /// In a reading of newest records: keys whose newest record lies beyond
-    /// the end.
+    /// In a snapshot of the newest records: keys whose newest record lies
+    /// at or beyond `end`.
     pub beyond: Vec<String>,
 }
 
-/// A page of the newest record of each key.
+/// A page of the newest records by key.
 #[derive(Clone, Debug, Default)]
 pub struct Page {
     /// The records, by key.
     pub records: Vec<Record>,
-    /// The key to go on after, if there is more.
+    /// The key after which the next page begins, if there is one.
     pub after: Option<String>,
     /// The partition's end.
     pub end: u64,
@@ -196,15 +195,15 @@
     pub group: String,
     /// The member.
     pub member: String,
-    /// Topics whose partitions are dealt out.
+    /// Topics whose partitions are assigned to the members.
     pub topics: Vec<String>,
-    /// How long the member lasts without another call.
+    /// Time to live of the member without another call.
     pub ttl: Duration,
     /// The generation received last; 0 at first.
     pub generation: u64,
 }
 
-/// One call of the store.
+/// A call of the store.
 pub type Call<I, O> = Rc<dyn Fn(I) -> LocalFuture<Result<O, StoreError>>>;
 
 /// The store's client.
@@ -212,19 +211,19 @@
 pub struct Client {
     /// Appends records.
     pub append: Call<Append, Appended>,
-    /// Reads records, waiting for the first of them.
+    /// Reads records; waits for the first if there is none.
     pub read: Call<WithIdleTimeout<Read>, Records>,
     /// Reads the newest record of each key, page by page.
     pub newest: Call<WithIdleTimeout<(Partition, Option<String>)>, Page>,
-    /// Joins a group or stays in it; returns the generation.
+    /// Joins a group, or renews the membership; returns the generation.
     pub join: Call<Join, u64>,
     /// Leaves a group.
     pub leave: Call<(String, String), ()>,
     /// The members of a group that hold a partition.
     pub members: Call<WithIdleTimeout<String>, Listing>,
-    /// Deletes the records of a partition's log before an offset. Of a keyed
-    /// topic the newest record of each key is kept, and can still be read by
-    /// its key.
+    /// Deletes the records of a partition's log before an offset. The newest
+    /// record of each key of a keyed topic is kept and can still be read by its
+    /// key.
     pub trim: Call<(Partition, u64), ()>,
 }
 
@@ -234,7 +233,7 @@
     }
 }
 
-/// The newest records of a partition as far as they are read.
+/// The newest record of each key of a partition, collected page by page.
 #[derive(Clone, Debug, Default)]
 pub struct Newest {
     records: Vec<Record>,
@@ -244,29 +243,29 @@
 }
 
 impl Newest {
-    /// Takes the next page over.
-    pub fn take(&mut self, page: Page) {
+    /// Adds the next page.
+    pub fn add_page(&mut self, page: Page) {
         self.end.get_or_insert(page.end);
         self.records.extend(page.records);
         self.done = page.after.is_none();
         self.after = page.after;
     }
 
-    /// Whether the last page was read.
+    /// Whether all pages were read.
     #[must_use]
     pub fn is_done(&self) -> bool {
         self.done
     }
 
-    /// The key to go on after.
+    /// The key after which the next page begins.
     #[must_use]
     pub fn after(&self) -> Option<&String> {
         self.after.as_ref()
     }
 
-    /// All newest records below the end that the first page named, by
-    /// offset. Records above it are to be read from there: pages are no
-    /// snapshot.
+    /// All newest records below the partition's end as of the first page, by
+    /// offset. Pages are not read at one instant, so later records must be read
+    /// from that end on.
     #[must_use]
     pub fn into_records(self) -> Records {
         let end = self.end.unwrap_or_default();
