--- a/crates/hollywell/src/entry/feed.rs
+++ b/crates/hollywell/src/entry/feed.rs
@@ -1,19 +1,19 @@
-//! Following the store's partitions through another instance.
+//! Reading the store's partitions through another instance.
 //!
-//! A store serves so many calls a second to all instances together, and shares
-//! one bandwidth among them. Where there are many, a few of each failure domain
-//! read it and hand on what they read; [`crate::core::relay`] says who. What
-//! is handed on keeps its offsets and says how old it is, so that whoever
-//! follows knows what it knows as if it had read the store. Of targets' entries
-//! only those go on that say something new.
+//! All instances together share one rate of calls and one bandwidth of the
+//! store. With many instances, only a few of each failure domain, the sources,
+//! read the store and pass on what they read; [`crate::core::relay`] selects
+//! them. Passed records keep their offsets and carry their age, so a follower
+//! can use them as if it had read the store. Of the targets' entries, only
+//! those with a change are passed on.
 //!
-//! Answers the load of a store whose history is gone, or of an instance that
-//! was away: all targets' entries are handed on from memory then. Read from the
-//! store by each instance, those of 10,000 targets take its bandwidth for
-//! longer than anybody waits.
+//! A follower whose offset is no longer held here, after a trim of the store or
+//! an outage of its own, gets all targets' entries as a snapshot from memory.
+//! If each instance read them from the store, those of 10,000 targets would take
+//! its bandwidth for longer than any timeout.
 //!
-//! What it leaves out: the first reading of a partition at a start, and the
-//! configuration, which every instance reads itself.
+//! The first read of a partition at a start is left to
+//! [`crate::entry::relay`]; the configuration is read by every instance itself.
 
 use std::{
     cell::RefCell,
@@ -40,94 +40,94 @@
     },
 };
 
-/// What the path begins with; topic, partition and the first offset wanted
-/// follow.
+/// Prefix of the path; topic, partition and the first offset wanted follow.
 pub const PATH: &str = "/feed/";
-/// How long whoever asks is kept where nothing is new. With the wait of the
-/// read that it depends on, two of these must end before a partition counts as
-/// out of date.
+/// How long a request waits for new records. Two of these, with the source's
+/// own waiting reads, must end before a partition counts as stale.
 const LONG_POLL: Duration = Duration::from_millis(400);
-/// Silence after which another source is asked, or the store.
+/// Time without progress after which another source is asked, or the store.
 const IDLE_TIMEOUT: Duration = Duration::from_millis(700);
-/// Age from which on a source is of no use, in milliseconds: its own read is
-/// overdue.
+/// Maximum age of a source's last read, in milliseconds; beyond it the source's
+/// next read is overdue, and its answer is not used.
 const MAX_AGE_MS: u64 = 1_300;
-/// Records and bytes of each partition that are handed on: some seconds.
+/// Maximum number of records held of each partition: those of some seconds.
 const MAX_RECORDS: usize = 8_192;
-/// See [`MAX_RECORDS`].
+/// Maximum size of the records held of each partition, in bytes.
 const MAX_BYTES: usize = 4 << 20;
-/// Largest answer of a source.
+/// Maximum size of a source's response, in bytes.
 const MAX_RESPONSE_BYTES: usize = 16 << 20;
-/// Sources that are asked before the store: after a start only the one whose
-/// reading was handed down here has what follows it.
+/// Number of sources that are asked before the store: after a start, only the
+/// source of this instance's snapshot has the records that follow it.
 const MAX_SOURCES: usize = relay::ROOTS;
 
-/// A record on its way between instances.
+/// A record in a [`Page`].
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 struct FeedRecord {
     #[prost(uint64, tag = "1")]
     offset: u64,
     #[prost(string, tag = "2")]
     key: String,
-    /// Absent where the key was dropped.
+    /// Absent if the key was deleted.
     #[prost(bytes = "bytes", optional, tag = "3")]
     value: Option<Bytes>,
 }
 
-/// What a source hands on.
+/// A source's response.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 struct Page {
-    /// All before this offset was read.
+    /// All records before this offset were read.
     #[prost(uint64, tag = "1")]
     end: u64,
-    /// How long ago, in milliseconds.
+    /// Time since the store was asked for them, in milliseconds.
     #[prost(uint64, tag = "2")]
     age_ms: u64,
     #[prost(message, repeated, tag = "3")]
     records: Vec<FeedRecord>,
-    /// They are the newest of all keys, not those after an offset.
+    /// The records are the newest of all keys, not those from an offset on.
     #[prost(bool, tag = "4")]
     is_snapshot: bool,
 }
 
-/// What those that this instance follows say of a partition.
+/// Outcome of asking the sources for records of a partition.
 pub(super) enum Fetched {
-    /// This.
+    /// Records from one of them.
     Batch(Batch),
-    /// They live, and have not read it yet themselves.
+    /// A source answered, but does not have the records yet, or they are too
+    /// old.
     NotReady,
-    /// There is nobody to follow, or nobody answered.
+    /// There is no source, or none answered.
     NoSource,
 }
 
-/// What was handed on to this instance.
+/// Records that a source passed on, or that were read from the store.
 pub(super) struct Batch {
     pub records: Records,
-    /// When the store was asked for it.
+    /// When the store was asked for them.
     pub requested_at: Time,
-    /// The records are the newest of all keys.
+    /// The records are a snapshot: the newest of all keys.
     pub is_snapshot: bool,
 }
 
-/// What was read lately of one partition.
+/// Records of one partition that were read recently.
 #[derive(Debug, Default)]
 struct Log {
-    /// Nothing is missing from here on.
+    /// The log is complete from this offset on.
     first: u64,
     end: u64,
     requested_at: Time,
     records: VecDeque<Record>,
     bytes: usize,
-    /// What targets said last.
+    /// The last announcement of each target, without its heartbeat counter.
     announced: HashMap<String, Announcement>,
-    /// The newest record of each target, if none is missing.
+    /// The newest record of each target, if it is known for all of them.
     newest: Option<HashMap<String, Record>>,
-    /// All of those, encoded, and the end up to which they were read.
+    /// `newest` as an encoded [`Page`], and the end up to which it was read.
     snapshot: Option<(u64, Bytes)>,
 }
 
 impl Log {
-    /// Whether a target's entry says something new; heartbeats mostly do not.
+    /// Whether a target's entry differs from its last one in more than the
+    /// heartbeat counter.
     fn is_change(&mut self, shared: &Shared, record: &Record) -> bool {
         let Some(value) = &record.value else {
             self.announced.remove(&record.key);
@@ -152,7 +152,7 @@
         }
     }
 
-    /// Notes a record as the newest of its key.
+    /// Applies a record to the newest records by key.
     fn update_newest(&mut self, record: &Record) {
         let Some(newest) = &mut self.newest else {
             return;
@@ -163,7 +163,7 @@
         }
     }
 
-    /// What follows an offset, unless some of it is not known here.
+    /// The records from an offset on, unless some of them are not held.
     fn page_from(&self, now: Time, from: u64) -> Option<Page> {
         if !(self.first..=self.end).contains(&from) {
             return None;
@@ -178,9 +178,9 @@
         })
     }
 
-    /// The newest records of all keys, for whoever needs what is no longer
-    /// known here one by one. They are encoded once for a crowd, for as long as
-    /// what followed them is known.
+    /// The newest records of all keys, for followers whose offset is no longer
+    /// held. They are encoded once for many followers, and reused while all
+    /// records after them are held.
     fn encoded_snapshot(&mut self, now: Time) -> Option<Bytes> {
         if let Some((end, snapshot)) = &self.snapshot
             && *end >= self.first
@@ -213,17 +213,17 @@
     record.key.len() + record.value.as_ref().map_or(0, Bytes::len)
 }
 
-/// What this instance hands on.
+/// Records that this instance passes on to its followers.
 #[derive(Debug, Default)]
 pub struct Feed {
     logs: RefCell<HashMap<Partition, Log>>,
     changed: Notify,
-    /// Who fed each partition last.
+    /// The last source of each partition.
     source: RefCell<HashMap<Partition, String>>,
 }
 
 impl Feed {
-    /// Notes who feeds a partition; returns whether that has changed.
+    /// Records the source of a partition; returns whether it has changed.
     fn note_source(&self, part: &Partition, source: &str) -> bool {
         let mut known = self.source.borrow_mut();
         if known.get(part).is_some_and(|known| known == source) {
@@ -234,8 +234,8 @@
     }
 }
 
-/// Whom this instance follows, the first choice first; nobody if it reads
-/// the store itself.
+/// The sources of this instance in order of preference; empty if it reads the
+/// store itself.
 pub(super) fn sources(shared: &Shared) -> Vec<String> {
     let control = shared.control.borrow();
     let all =
@@ -243,14 +243,14 @@
     all.into_iter().map(str::to_owned).collect()
 }
 
-/// Whether the store cannot serve all instances.
+/// Whether the store cannot serve all instances directly.
 fn is_crowded(shared: &Shared, control: &Control) -> bool {
     let demand = relay::Demand {
         instances: control.roster.members().len(),
         targets: control.fleet.targets.len(),
         beat_ms: u64::try_from(shared.settings.times.heartbeat.as_millis()).unwrap_or(u64::MAX),
     };
-    // How many read it is not known where not all show.
+    // The number of readers is unknown if the group does not show all members.
     control.census.is_full() || relay::is_crowded(shared.settings.store.supply, demand)
 }
 
@@ -259,12 +259,12 @@
     !sources(shared).is_empty()
 }
 
-/// How many instances ask the one that this instance follows.
+/// Number of instances that follow the same source as this one.
 pub(super) fn followers(shared: &Shared) -> usize {
     relay::followers(shared.control.borrow().roster.members(), &shared.instance_id)
 }
 
-/// How many instances read the store's partitions, as far as is known.
+/// Number of instances that read the store's partitions, as far as is known.
 pub(super) fn readers(shared: &Shared) -> usize {
     match is_source(shared) {
         true => relay::ROOTS * shared.settings.domains.len(),
@@ -272,15 +272,15 @@
     }
 }
 
-/// Whether others follow this instance.
+/// Whether other instances follow this one.
 pub(super) fn is_source(shared: &Shared) -> bool {
     let control = shared.control.borrow();
     relay::is_source(control.roster.members(), &shared.instance_id, is_crowded(shared, &control))
 }
 
-/// Notes what was read of a partition from its beginning, so that only what
-/// says something else is handed on. Without it the first heartbeats of all
-/// targets pushed out what had followed the reading that others had been given.
+/// Starts the log of a partition with the snapshot that was read, so that only
+/// changes from it are passed on. Without this, the first heartbeats of all
+/// targets evicted the records that followed the snapshot passed on to others.
 pub(super) fn start(shared: &Shared, part: &Partition, newest: &Records) {
     {
         let control = shared.control.borrow();
@@ -301,8 +301,8 @@
     shared.feed.logs.borrow_mut().insert(part.clone(), log);
 }
 
-/// Keeps what was read of a partition from an offset on for those who follow
-/// this instance.
+/// Adds the records that were read of a partition from an offset on, for the
+/// followers of this instance.
 pub(super) fn record(
     shared: &Shared,
     part: &Partition,
@@ -329,10 +329,10 @@
     }
 }
 
-/// What follows an offset of a partition, from whomever this instance
-/// follows.
+/// Fetches the records of a partition from an offset on from the sources of
+/// this instance.
 pub(super) async fn fetch(shared: &Rc<Shared>, part: &Partition, from: u64) -> Fetched {
-    let mut nothing = Fetched::NoSource;
+    let mut outcome = Fetched::NoSource;
     for source in sources(shared).into_iter().take(MAX_SOURCES) {
         let requested_at = shared.now();
         match fetch_from(shared, part, from, &source).await {
@@ -340,12 +340,12 @@
                 if shared.feed.note_source(part, &source) {
                     log::info!("{}/{} is fed by {source}", part.topic, part.number);
                 }
-                let record = |record: FeedRecord| Record {
+                let decode = |record: FeedRecord| Record {
                     offset: record.offset,
                     key: record.key,
                     value: record.value,
                 };
-                let records = page.records.into_iter().map(record).collect();
+                let records = page.records.into_iter().map(decode).collect();
                 return Fetched::Batch(Batch {
                     records: Records { end: page.end, records, beyond: vec![] },
                     requested_at: Time(requested_at.0.saturating_sub(page.age_ms)),
@@ -353,22 +353,26 @@
                 });
             }
             Ok(Some(page)) => {
-                log::info!("{source} has read {part:?} {} ms ago", page.age_ms);
-                nothing = Fetched::NotReady;
+                log::info!(
+                    "{source} last read {part:?} {} ms ago, more than {MAX_AGE_MS} ms",
+                    page.age_ms
+                );
+                outcome = Fetched::NotReady;
             }
             Ok(None) => {
-                log::info!("{source} does not know what follows {from} of {part:?}");
-                nothing = Fetched::NotReady;
+                log::info!("{source} does not hold {part:?} from offset {from} on");
+                outcome = Fetched::NotReady;
             }
             Err(why) => {
-                log::info!("{part:?} from {from} on is not to be had from {source}: {why}");
+                log::info!("fetching {part:?} from offset {from} on from {source} failed: {why}");
             }
         }
     }
-    nothing
+    outcome
 }
 
-/// Asks one of them; `None` if it does not know what follows the offset.
+/// Fetches from one source; `None` if it does not hold the records from the
+/// offset on.
 async fn fetch_from(
     shared: &Rc<Shared>,
     part: &Partition,
@@ -390,10 +394,15 @@
     let is_contiguous = page.end >= from
         && page.records.iter().all(|record| (first..page.end).contains(&record.offset))
         && page.records.is_sorted_by(|a, b| a.offset < b.offset);
-    if is_contiguous { Ok(Some(page)) } else { Err(String::from("records that do not follow")) }
+    if is_contiguous {
+        Ok(Some(page))
+    } else {
+        Err(String::from("records are unordered or outside the requested range"))
+    }
 }
 
-/// Hands on what follows an offset, once there is something.
+/// Answers a follower with the records from an offset on; waits for the first
+/// up to [`LONG_POLL`].
 pub(super) async fn respond(shared: &Rc<Shared>, path: &str) -> Response<Full<Bytes>> {
     let Some((part, from)) = parse_path(path) else {
         return peers::empty_response(StatusCode::NOT_FOUND);
--- a/crates/hollywell/src/entry/follow.rs
+++ b/crates/hollywell/src/entry/follow.rs
@@ -1,8 +1,9 @@
-//! Keeps this instance's folds of the store's partitions up to date.
+//! Keeps the local state folded from the store's partitions up to date.
 //!
-//! Each partition is read from its beginning once, by the newest record of
-//! each key, and then on from there. Where records that were not read yet
-//! are gone, it starts over: keyed records are never gone for good.
+//! A keyed partition is first read as a snapshot, the newest record of each
+//! key, and then incrementally from the snapshot's end. If records were trimmed
+//! before they were read, it is read as a snapshot again; the newest record of
+//! a key is never trimmed.
 
 use std::{
     collections::{BTreeSet, HashSet},
@@ -31,64 +32,66 @@
     },
 };
 
-/// How long a read waits for a record. A connection that died in silence is
-/// noticed only when an answer is overdue, so a long wait would leave this
-/// instance ignorant for as long after a cut has healed; a call a second is
-/// cheap beside that. Two waits in a row, with what they take beside, must
-/// end within the two seconds after which a partition is out of date: one
-/// that nobody writes to is not.
+/// How long a read waits for a record. A connection that was cut without a
+/// reset is noticed only when a response is overdue, so with a long wait this
+/// instance would learn nothing for as long after the network has healed; one
+/// call a second is cheap in comparison. Two waits in a row, with their
+/// overhead, must end within the two seconds after which a partition is stale:
+/// one without new records must not become stale.
 const READ_WAIT: Duration = Duration::from_millis(900);
-/// The same for an instance that others follow: theirs comes on top.
+/// The same for an instance with followers, whose own waits add to it.
 const SOURCE_READ_WAIT: Duration = Duration::from_millis(450);
-/// Least time between reads of a partition of jobs: what one read more costs
-/// against what a result that is known sooner earns. It grows with the
-/// number of instances beyond [`JOBS_INSTANCES`], as all share the store's
-/// rate of reads, but not where a caller waits for results: few instances
-/// have one, and it is they who hold a step up.
+/// Minimum interval between reads of a job partition: a balance between the
+/// cost of a read and knowing a result sooner. It grows with the number of
+/// instances beyond [`JOBS_INSTANCES`], as all share the store's rate of reads,
+/// except while a caller waits for results here: few instances have one, and
+/// they are the ones that delay a step.
 const JOBS_INTERVAL: Duration = Duration::from_millis(40);
-/// See [`JOBS_INTERVAL`]: 20 instances that read four busy partitions make 2,000
-/// calls a second.
+/// See [`JOBS_INTERVAL`]: 20 instances that read four busy partitions make
+/// 2,000 calls a second.
 const JOBS_INSTANCES: f64 = 20.0;
-/// Followers of one source up to which each asks as often as that. A busy
-/// partition changes all the time, and each answer takes the source's time.
+/// Number of followers of one source up to which each uses [`JOBS_INTERVAL`].
+/// A busy partition changes all the time, and each response costs the source
+/// time.
 const JOBS_FOLLOWERS: f64 = 8.0;
-/// Longest pause of a follower: with what a source's own read takes, the end
-/// of a job must be known well before its partition is out of date.
+/// Maximum interval of a follower: together with the source's own read, the end
+/// of a job must be known well before its partition is stale.
 const MAX_JOBS_INTERVAL: Duration = Duration::from_millis(600);
-/// How long those that are followed are asked again at a start, while they have
-/// not read a partition themselves.
+/// How long a starting instance retries at its sources while they have not read
+/// a partition themselves.
 const NOT_READY_TIMEOUT: Duration = Duration::from_millis(4_000);
-/// Time between two such questions.
+/// Delay between these retries.
 const NOT_READY_RETRY: Duration = Duration::from_millis(250);
-/// Least time between reads of the targets' announcements. Each heartbeat is
-/// a record; a leaving target must get nothing after two seconds.
+/// Minimum interval between reads of the targets' announcements. Each heartbeat
+/// is a record; a leaving target must get no request after two seconds.
 const TARGETS_INTERVAL: Duration = Duration::from_millis(300);
-/// Least time between reads of the operator's wishes.
+/// Minimum interval between reads of the operator's commands.
 const COMMANDS_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Where a batch of records comes from.
+/// How a batch of records was read.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Origin {
-    /// These are all there is from the beginning.
+    /// The records are a snapshot of the whole partition.
     pub is_snapshot: bool,
-    /// When the store was asked for them: an answer may have lain here
-    /// unread, and says nothing of what happened since. `None` for what is
-    /// read from the beginning: that takes seconds among many instances, or
-    /// was another instance's, and is current only once it was read on from.
+    /// When the store was asked for them. The time of the response would be too
+    /// late: it may have waited unprocessed, and says nothing of what happened
+    /// since. `None` for a snapshot: it takes seconds to read with many
+    /// instances, or came from another one, and is current only after the next
+    /// incremental read.
     pub requested_at: Option<Time>,
 }
 
-/// How far a partition is read, and what the next read should look like.
+/// How far a partition is read, and the parameters of the next read.
 struct Position {
-    /// The offset to read from; `None` to begin with the newest of each key.
+    /// The offset to read from; `None` to begin with a snapshot.
     next: Option<u64>,
-    /// Pages of newest records so far.
+    /// Pages of the snapshot that were read so far.
     newest: Newest,
     /// How long the next read waits for a record.
     wait: Duration,
-    /// Reads that failed in a row.
+    /// Number of failed reads in a row.
     failures: u32,
-    /// It was read on from its beginning.
+    /// An incremental read has succeeded since the start.
     is_current: bool,
 }
 
@@ -104,7 +107,7 @@
         }
     }
 
-    /// Reads on: through another instance where this one follows any.
+    /// Reads the next batch, from another instance if this one follows any.
     async fn read(
         &mut self,
         shared: &Rc<Shared>,
@@ -120,8 +123,8 @@
         }
     }
 
-    /// Takes what another instance hands on; of a partition that is not read
-    /// yet, only where all of it is.
+    /// Reads from a source. For a partition that was not read yet, only a
+    /// snapshot is accepted.
     async fn read_from_source(&mut self, shared: &Rc<Shared>, part: &Partition) -> Option<Batch> {
         if self.next.is_none() && part.topic != shared.codec.announcements {
             return None;
@@ -130,15 +133,16 @@
         if self.next.is_none() && !batch.is_snapshot {
             return None;
         }
-        // Records that say nothing new are left out.
+        // A source leaves out heartbeats without a change, so the last record
+        // does not say how far the batch goes.
         self.next = Some(batch.records.end);
         self.newest = Newest::default();
         Some(batch)
     }
 
-    /// Asks those that this instance follows. While they live and have not
-    /// read the partition themselves, all that follow them would only make them
-    /// wait longer at the store.
+    /// Asks the sources of this instance. At a start it waits while they have
+    /// not read the partition themselves: if their followers read the store
+    /// instead, the sources would only wait longer for it.
     async fn ask_sources(&self, shared: &Rc<Shared>, part: &Partition) -> Option<Batch> {
         let patience = if self.is_current { Duration::ZERO } else { NOT_READY_TIMEOUT };
         let until = Instant::now() + patience;
@@ -153,7 +157,7 @@
         }
     }
 
-    /// Reads the newest record of each key from the store.
+    /// Reads a snapshot, the newest record of each key, from the store.
     async fn read_snapshot(
         &mut self,
         shared: &Rc<Shared>,
@@ -173,7 +177,7 @@
         Ok(Batch { records, requested_at, is_snapshot: true })
     }
 
-    /// Reads on in the store.
+    /// Reads incrementally from the store.
     async fn read_on(
         &self,
         shared: &Rc<Shared>,
@@ -193,44 +197,45 @@
         Ok(Batch { records, requested_at, is_snapshot: false })
     }
 
-    /// Goes on behind what was read. A read ends at its last record, the
-    /// newest of all keys at the partition's end.
+    /// Moves the position behind what was read: an incremental read ends at its
+    /// last record, a snapshot at the partition's end.
     fn advance(&mut self, records: &Records) {
         let last = records.records.last().map_or(0, |record| record.offset + 1);
         let next = self.next.map_or(records.end, |from| last.max(from));
-        // What came from the beginning is not known to be current.
+        // A snapshot may be outdated by now: the next read must not wait.
         self.wait = if self.next.is_none() { Duration::ZERO } else { READ_WAIT };
         self.next = Some(next);
         self.failures = 0;
     }
 
     fn fail(&mut self) {
-        // A read that waits may be the only kind that gets no answer.
+        // It may be only waiting reads that get no response.
         self.wait = Duration::ZERO;
         self.failures += 1;
     }
 }
 
-/// Reads a partition for good and hands every batch of records to `take`,
-/// with the partition's end and where they come from. A keyed partition is
-/// read from its newest records, another from whatever is left of it. Between
-/// reads there is a `pause`, which `sooner` ends.
+/// Reads a partition until the process ends, and passes each batch of records
+/// to `on_records`. A keyed partition begins with a snapshot, another with the
+/// oldest record left. Reads are at least `interval` apart, unless `wake` is
+/// notified.
 pub(super) async fn follow(
     shared: Rc<Shared>,
     part: Partition,
-    pause: impl Fn(&Shared) -> Duration,
-    sooner: Option<&Notify>,
+    interval: impl Fn(&Shared) -> Duration,
+    wake: Option<&Notify>,
     keyed: bool,
-    take: impl Fn(&Rc<Shared>, Records, Origin),
+    on_records: impl Fn(&Rc<Shared>, Records, Origin),
 ) {
     let is_relayed = relay::is_relayed(&shared, &part);
-    // The configuration is vital: everybody reads it, beside what peers tell.
+    // Every instance reads the operator's topic itself, besides asking peers:
+    // nothing works without the configuration.
     let may_follow = part.topic != shared.codec.operator_topic;
     let mut position = Position::new(keyed);
     if is_relayed && let Some((records, age_ms)) = relay::fetch(&shared, &part).await {
         relay::keep(&shared, &part, &records, age_ms);
         position.advance(&records);
-        take(&shared, records, Origin { is_snapshot: true, requested_at: None });
+        on_records(&shared, records, Origin { is_snapshot: true, requested_at: None });
     }
     loop {
         let started = Instant::now();
@@ -242,19 +247,19 @@
                 position.advance(&records);
                 position.is_current |= !is_snapshot;
                 let requested_at = (!is_snapshot).then_some(requested_at);
-                take(&shared, records, Origin { is_snapshot, requested_at });
+                on_records(&shared, records, Origin { is_snapshot, requested_at });
                 if is_snapshot {
                     continue;
                 }
-                let next = started + pause(&shared);
-                match sooner {
-                    Some(sooner) => drop(timeout_at(next, sooner.notified()).await),
+                let next = started + interval(&shared);
+                match wake {
+                    Some(wake) => drop(timeout_at(next, wake.notified()).await),
                     None => sleep_until(next).await,
                 }
             }
             Err(StoreError::Trimmed(first)) => {
                 shared.record_store_result(true);
-                log::warn!("records of {}/{} before {first} are gone", part.topic, part.number);
+                log::warn!("records of {}/{} before {first} were trimmed", part.topic, part.number);
                 position.next = (!keyed).then_some(first);
             }
             Err(fault) => {
@@ -272,25 +277,32 @@
         return JOBS_INTERVAL;
     }
     if feed::is_follower(shared) {
-        let crowd = feed::followers(shared) as f64 / JOBS_FOLLOWERS;
-        return JOBS_INTERVAL.mul_f64(crowd.max(1.0)).min(MAX_JOBS_INTERVAL);
+        let factor = feed::followers(shared) as f64 / JOBS_FOLLOWERS;
+        return JOBS_INTERVAL.mul_f64(factor.max(1.0)).min(MAX_JOBS_INTERVAL);
     }
     JOBS_INTERVAL.mul_f64((feed::readers(shared) as f64 / JOBS_INSTANCES).max(1.0))
 }
 
-/// Follows one partition of batch jobs.
+/// Follows a partition of batch jobs.
 pub async fn jobs(shared: Rc<Shared>, part: usize) {
-    let hurry = shared.clone();
-    let pause = move |shared: &Shared| jobs_interval(shared, part);
-    let sooner = Some(&hurry.job_accepted[part]);
-    follow(shared, Partition::at(JOBS, part), pause, sooner, true, move |shared, records, from| {
-        let end = if from.is_snapshot { records.end } else { 0 };
-        shared.control.borrow_mut().partitions[part].read_at = from.requested_at;
-        if from.is_snapshot {
-            shared.remove_missing_jobs(part, &records);
-        }
-        shared.apply_records(part, &records.records, end);
-    })
+    let notifies = shared.clone();
+    let interval = move |shared: &Shared| jobs_interval(shared, part);
+    let wake = Some(&notifies.job_accepted[part]);
+    follow(
+        shared,
+        Partition::at(JOBS, part),
+        interval,
+        wake,
+        true,
+        move |shared, records, origin| {
+            let end = if origin.is_snapshot { records.end } else { 0 };
+            shared.control.borrow_mut().partitions[part].read_at = origin.requested_at;
+            if origin.is_snapshot {
+                shared.remove_missing_jobs(part, &records);
+            }
+            shared.apply_records(part, &records.records, end);
+        },
+    )
     .await;
 }
 
@@ -303,12 +315,13 @@
         |_| TARGETS_INTERVAL,
         None,
         true,
-        |shared, records, from| {
+        |shared, records, origin| {
             let now = shared.now();
             {
                 let control = &mut *shared.control.borrow_mut();
-                if from.is_snapshot {
-                    // Whatever is not among the newest has vanished unseen.
+                if origin.is_snapshot {
+                    // Targets without a record in the snapshot expired or left
+                    // while their topic was not read.
                     let listed: HashSet<&str> =
                         records.records.iter().map(|record| record.key.as_str()).collect();
                     let ids: Vec<String> = control.fleet.targets.keys().cloned().collect();
@@ -319,7 +332,7 @@
                 for record in &records.records {
                     apply_entry(shared, control, now, record);
                 }
-                control.fleet_loaded |= from.requested_at.is_some();
+                control.fleet_loaded |= origin.requested_at.is_some();
             }
             shared.handle_event(&crate::core::dispatch::Event::Tick);
         },
@@ -327,7 +340,7 @@
     .await;
 }
 
-/// Takes one entry of a target in.
+/// Applies the newest entry of a target.
 fn apply_entry(shared: &Shared, control: &mut Control, now: Time, record: &Record) {
     let id = &record.key;
     let Some(value) = &record.value else {
@@ -336,7 +349,7 @@
         return;
     };
     match (shared.codec.announcement)(id, value) {
-        Ok(said) => apply_announcement(shared, control, now, said),
+        Ok(announcement) => apply_announcement(shared, control, now, announcement),
         Err(why) => {
             shared.meters.announcements_skipped.inc();
             if control.fleet.skip(id, &why) {
@@ -346,16 +359,22 @@
     }
 }
 
-fn apply_announcement(shared: &Shared, control: &mut Control, now: Time, said: Announcement) {
-    let (id, born) = (said.id.clone(), said.born);
-    match control.fleet.announce(now, said) {
+fn apply_announcement(
+    shared: &Shared,
+    control: &mut Control,
+    now: Time,
+    announcement: Announcement,
+) {
+    let (id, born) = (announcement.id.clone(), announcement.born);
+    match control.fleet.announce(now, announcement) {
         Heard::Taken => {}
         Heard::Outdated => log::info!("entry of {id}, start {born:?}, is out of date"),
         Heard::Restarted(address) => shared.reset_target(control, &id, address),
     }
 }
 
-/// Follows the operator's wishes: the configuration and the newest weights.
+/// Follows the operator's commands: the configuration, the newest weights and
+/// evacuations of failure domains.
 pub async fn commands(shared: Rc<Shared>) {
     let part = Partition::new(shared.codec.operator_topic, 0);
     follow(
@@ -364,14 +383,14 @@
         |_| COMMANDS_INTERVAL,
         None,
         true,
-        |shared, records, from| {
+        |shared, records, origin| {
             for record in &records.records {
                 apply_command(shared, record);
             }
-            if from.is_snapshot {
+            if origin.is_snapshot {
                 end_withdrawn_evacuations(shared, &records);
             }
-            if let Some(requested_at) = from.requested_at {
+            if let Some(requested_at) = origin.requested_at {
                 configuration::mark_current(shared, requested_at);
             }
             shared.open_waiting_jobs();
@@ -380,21 +399,21 @@
     .await;
 }
 
-/// Ends evacuations that were taken back while nothing was read here.
+/// Ends evacuations that were withdrawn while the topic was not read here.
 fn end_withdrawn_evacuations(shared: &Rc<Shared>, newest: &Records) {
     let domain = |key: &str| match (shared.codec.command)(key, None) {
         Ok(Some(Command::Evacuation { domain, .. })) => Some(domain),
         _ => None,
     };
     let on = newest.records.iter().filter_map(|record| domain(&record.key)).collect();
-    // What was written since the reading began is read next.
+    // Records beyond the snapshot's end are read next.
     let unread: BTreeSet<String> = newest.beyond.iter().filter_map(|key| domain(key)).collect();
     configuration::replace_evacuated(shared, &on, |domain| unread.contains(domain));
 }
 
 fn apply_command(shared: &Rc<Shared>, record: &Record) {
     match (shared.codec.command)(&record.key, record.value.as_deref()) {
-        Ok(Some(Command::Configuration(plan))) => configuration::adopt(shared, plan, "the store"),
+        Ok(Some(Command::Configuration(new))) => configuration::adopt(shared, new, "the store"),
         Ok(Some(Command::Version { model, version })) => {
             configuration::adopt_version(shared, &model, version)
         }
--- a/crates/hollywell/src/entry/member.rs
+++ b/crates/hollywell/src/entry/member.rs
@@ -1,9 +1,10 @@
-//! Membership: this instance stays in a group of the store and reads who
-//! else is in it. The store judges who lives; nothing is exchanged directly.
+//! Membership: this instance keeps itself in a group of the store with
+//! heartbeats, and reads the group's other members. The store decides who is
+//! alive; instances exchange no heartbeats.
 //!
-//! A reading lists all members, so that all of them reading it costs their
-//! number squared. Where the store is crowded, those that read it for the
-//! others hand the members on too, with how old their reading is.
+//! A read lists all members, so its total cost is quadratic in their number.
+//! With many instances, the sources of [`crate::entry::feed`] pass on the
+//! members too, with the age of their read.
 
 use std::{cell::Cell, rc::Rc, time::Duration};
 
@@ -31,63 +32,65 @@
 
 /// The group of all instances.
 pub const GROUP: &str = "instances";
-/// Where peers ask for the members; a mark of those that they know follows.
+/// Prefix of the path on which peers request the members; the fingerprint of
+/// the members that they know follows.
 pub const PATH: &str = "/members/";
-/// Time between calls that keep the member in the group.
+/// Interval between the calls that keep this instance in the group.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(300);
-/// How long a member lasts without one: a few lost calls must not end it,
-/// and the work of one that died waits for so long.
+/// Time to live of a member without such a call. A few lost calls must not end
+/// the membership, and the work of an instance that died waits for so long.
 const TTL: Duration = Duration::from_millis(1_400);
-/// Time between readings of the members while nothing changes.
+/// Interval between reads of the members while nothing changes.
 const READ_INTERVAL: Duration = Duration::from_millis(900);
-/// Least time between readings: a change mostly comes with others.
+/// Minimum interval between reads: changes mostly come several at a time.
 const MIN_READ_INTERVAL: Duration = Duration::from_millis(100);
-/// Readers up to which the group is read as often as that; with more, less
-/// often in proportion.
+/// Number of readers up to which these intervals apply; with more, they grow in
+/// proportion.
 const READERS_AT_FULL_RATE: f64 = 30.0;
-/// Spread of the pauses between readings.
+/// Jitter of the interval between reads, as a factor.
 const JITTER: std::ops::RangeInclusive<f64> = 0.7..=1.3;
-/// How long whoever asks is kept while its members are the ones known here.
+/// How long a request waits while the peer's members equal those known here.
 const LONG_POLL: Duration = Duration::from_millis(400);
-/// Silence after which another instance is asked, or the store.
+/// Time without progress after which another source is asked, or the store.
 const IDLE_TIMEOUT: Duration = Duration::from_millis(700);
-/// Age from which on a reading is of no use, in milliseconds: the member that
-/// it still shows has been gone for longer than [`TTL`] and two looks.
+/// Maximum age of a read that is used, in milliseconds. A member that an older
+/// one still shows has been gone for longer than [`TTL`] and two reads.
 const MAX_AGE_MS: u64 = 6_000;
-/// Largest answer of a peer: some thousand names.
+/// Maximum size of a peer's response, in bytes: some thousand names.
 const MAX_RESPONSE_BYTES: usize = 1 << 20;
-/// Members that a line of log names at most, of those that came or went.
+/// Maximum number of members that came, and of those that went, in one line of
+/// the log.
 const MAX_LOGGED_MEMBERS: usize = 5;
 
-/// What one instance tells another of the group.
+/// The members of the group, as sent to a peer.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 struct MemberList {
     /// How long ago the store was asked, in milliseconds.
     #[prost(uint64, tag = "1")]
     age_ms: u64,
-    /// Marks these members.
+    /// Fingerprint of the members.
     #[prost(uint64, tag = "2")]
-    mark: u64,
-    /// The members; none where whoever asks knows them.
+    fingerprint: u64,
+    /// The members; empty if the peer knows them already.
     #[prost(string, repeated, tag = "3")]
     members: Vec<String>,
-    /// There may be others that do not show.
+    /// The group is full, so that it may not show all instances.
     #[prost(bool, tag = "4")]
     full: bool,
 }
 
-/// What others are told.
+/// State of the members as read by this instance.
 #[derive(Debug, Default)]
 pub struct Membership {
-    /// When the store was asked for what is known.
+    /// When the store was asked for the members known here.
     read_at: Cell<Option<Time>>,
-    /// The members were taken anew.
+    /// Notified when the members changed.
     changed: Notify,
-    /// It was logged that some may not show.
+    /// It was logged that the group is full.
     full_logged: Cell<bool>,
 }
 
-/// Stays in the group until the instance stops.
+/// Keeps this instance in the group until it stops.
 pub async fn heartbeat(shared: Rc<Shared>) {
     let ttl = TTL.max(shared.settings.store.ttl_min);
     let mut generation = 0;
@@ -123,17 +126,17 @@
     }
 }
 
-/// Leaves the group, so that others take this instance's work at once.
+/// Leaves the group, so that others take over this instance's work at once.
 ///
 /// # Errors
 ///
-/// The store's [`StoreError`]; the member then ends by its time to live.
+/// The store's [`StoreError`]; the membership then ends by its time to live.
 pub async fn leave(shared: &Rc<Shared>) -> Result<(), StoreError> {
     (shared.store.leave)((GROUP.to_owned(), shared.instance_id.clone())).await
 }
 
-/// Reads who is in the group: as often as it takes to notice by itself, and
-/// at once where the group's generation says that something changed.
+/// Reads the group's members, periodically and at once when the group's
+/// generation has changed.
 pub async fn follow_members(shared: Rc<Shared>) {
     let mut failures = 0;
     loop {
@@ -160,23 +163,24 @@
     }
 }
 
-/// Waits until the group is to be read again.
+/// Waits until the next read of the group is due.
 async fn wait_for_next_read(shared: &Shared) {
     let is_unsettled = {
         let control = shared.control.borrow();
         control.roster.is_unsettled() || !control.census.is_settled()
     };
-    // A reading lists every partition, and all readers share the store.
-    let crowd = (feed::readers(shared) as f64 / READERS_AT_FULL_RATE).max(1.0);
-    // All instances that start together read it again, but not all at once.
-    sleep(MIN_READ_INTERVAL.mul_f64(crowd * rand::random_range(JITTER))).await;
+    // A read lists every partition, and all readers share the store.
+    let factor = (feed::readers(shared) as f64 / READERS_AT_FULL_RATE).max(1.0);
+    // Instances that start together read it again, but not all at once.
+    sleep(MIN_READ_INTERVAL.mul_f64(factor * rand::random_range(JITTER))).await;
     if !is_unsettled {
-        let rest = (READ_INTERVAL - MIN_READ_INTERVAL).mul_f64(crowd);
-        let _either = timeout(rest, shared.group_changed.notified()).await;
+        let remaining = (READ_INTERVAL - MIN_READ_INTERVAL).mul_f64(factor);
+        let _woken = timeout(remaining, shared.group_changed.notified()).await;
     }
 }
 
-/// Notes how many members a reading of the store shows, of how many may.
+/// Records how many members a read of the store shows, and how many it can
+/// show.
 fn record_census(shared: &Shared, listing: &Listing) {
     let is_full = {
         let control = &mut *shared.control.borrow_mut();
@@ -186,13 +190,12 @@
         is_full
     };
     if is_full && !shared.membership.full_logged.replace(true) {
-        let most = listing.partitions;
-        log::warn!("the group shows {most} instances at most: others run no samples");
+        let max = listing.partitions;
+        log::warn!("the group shows {max} instances at most: others run no samples");
     }
 }
 
-/// Takes the members from an instance that reads them for others; returns
-/// whether that went well.
+/// Reads the members from a source; returns whether one answered.
 async fn read_from_source(shared: &Rc<Shared>) -> bool {
     if !shared.control.borrow().census.is_settled() {
         return false;
@@ -210,7 +213,7 @@
                 apply_members(shared, &members, Time(requested_at.0.saturating_sub(list.age_ms)));
                 return true;
             }
-            Err(why) => log::info!("the members are not to be had from {source}: {why}"),
+            Err(why) => log::info!("reading the members from {source} failed: {why}"),
         }
     }
     false
@@ -228,9 +231,13 @@
         return Err(status.to_string());
     }
     let list = MemberList::decode(body).map_err(|error| error.to_string())?;
-    let told = if list.members.is_empty() { known } else { fingerprint(&list.members) };
-    if told != list.mark {
-        return Err(format!("{} members marked {}, not {told}", list.members.len(), list.mark));
+    let computed = if list.members.is_empty() { known } else { fingerprint(&list.members) };
+    if computed != list.fingerprint {
+        return Err(format!(
+            "{} members sent with fingerprint {}, theirs is {computed}",
+            list.members.len(),
+            list.fingerprint
+        ));
     }
     if list.age_ms > MAX_AGE_MS {
         return Err(format!("they were read {} ms ago, more than {MAX_AGE_MS}", list.age_ms));
@@ -238,9 +245,10 @@
     Ok(list)
 }
 
-/// Tells a peer the members, once they are others than those that it knows.
+/// Answers a peer with the members, once they differ from those that it knows;
+/// after [`LONG_POLL`] only with the age of the last read.
 pub(super) async fn respond(shared: &Rc<Shared>, path: &str) -> Response<Full<Bytes>> {
-    let Some(known) = path.strip_prefix(PATH).and_then(|mark| mark.parse::<u64>().ok()) else {
+    let Some(known) = path.strip_prefix(PATH).and_then(|known| known.parse::<u64>().ok()) else {
         return peers::empty_response(StatusCode::NOT_FOUND);
     };
     let until = Instant::now() + LONG_POLL;
@@ -253,21 +261,21 @@
             let control = shared.control.borrow();
             (control.roster.members().to_vec(), control.census.is_full())
         };
-        let (mark, age_ms) = (fingerprint(&members), shared.now().since(read_at));
-        if mark != known {
+        let (fingerprint, age_ms) = (fingerprint(&members), shared.now().since(read_at));
+        if fingerprint != known {
             return Response::new(Full::new(
-                MemberList { age_ms, mark, members, full }.encode_to_vec().into(),
+                MemberList { age_ms, fingerprint, members, full }.encode_to_vec().into(),
             ));
         }
         if timeout_at(until, changed).await.is_err() {
             let age_ms = shared.now().since(read_at);
-            let list = MemberList { age_ms, mark, members: vec![], full };
+            let list = MemberList { age_ms, fingerprint, members: vec![], full };
             return Response::new(Full::new(list.encode_to_vec().into()));
         }
     }
 }
 
-/// Marks a list of members.
+/// A hash of a list of members.
 fn fingerprint(members: &[String]) -> u64 {
     let mut hash = xxhash_rust::xxh3::Xxh3Default::new();
     for member in members {
@@ -294,18 +302,18 @@
     }
 }
 
-/// The line that says what changed among the members: it names those that
-/// came and went, since a list of hundreds at each change would be most of
-/// what an instance writes. Both lists are sorted.
+/// The log line for a change of the members. It names only those that came and
+/// went: a list of hundreds at each change would be most of an instance's log.
+/// Both lists are sorted.
 fn changes(before: &[String], members: &[String]) -> String {
-    let named = |some: Vec<&String>| {
-        let more = some.len().saturating_sub(MAX_LOGGED_MEMBERS);
+    let list = |names: Vec<&String>| {
+        let more = names.len().saturating_sub(MAX_LOGGED_MEMBERS);
         let first: Vec<&str> =
-            some.into_iter().take(MAX_LOGGED_MEMBERS).map(String::as_str).collect();
+            names.into_iter().take(MAX_LOGGED_MEMBERS).map(String::as_str).collect();
         let more = if more > 0 { format!(" and {more} more") } else { String::new() };
         format!("{}{more}", first.join(" "))
     };
     let came = members.iter().filter(|member| before.binary_search(member).is_err()).collect();
     let went = before.iter().filter(|member| members.binary_search(member).is_err()).collect();
-    format!("instances: {}, came: {}, went: {}", members.len(), named(came), named(went))
+    format!("instances: {}, came: {}, went: {}", members.len(), list(came), list(went))
 }
--- a/crates/hollywell/src/entry/relay.rs
+++ b/crates/hollywell/src/entry/relay.rs
@@ -1,5 +1,5 @@
-//! Taking a partition's newest records from another instance, and handing
-//! them on: what [`crate::core::relay`] decides is carried out here.
+//! Fetches snapshots of partitions from another instance at a start, and serves
+//! them to others. [`crate::core::relay`] decides who asks whom.
 
 use std::{cell::RefCell, collections::HashMap, rc::Rc, time::Duration};
 
@@ -21,30 +21,31 @@
     },
 };
 
-/// What the path of a partition's newest records begins with.
+/// Prefix of the path of a snapshot; topic and partition follow.
 pub const PATH: &str = "/newest/";
-/// How long what was read is handed on, in milliseconds: about as long as a
-/// crowd takes to read it. It takes memory meanwhile, and the store keeps the
-/// records that follow it for twenty seconds.
+/// Maximum age of a snapshot that is served, in milliseconds: about as long as
+/// many instances take to read it. It takes memory meanwhile, and the store
+/// keeps the records that follow it for only twenty seconds.
 const CACHE_MS: u64 = 8_000;
-/// How long an instance that is reading itself keeps whoever asks.
+/// How long a request waits while this instance is itself reading.
 const LONG_POLL: Duration = Duration::from_millis(1_000);
-/// Silence after which the instance that is asked is taken for lost.
+/// Time without progress after which the asked instance counts as failed.
 const IDLE_TIMEOUT: Duration = Duration::from_millis(1_300);
-/// How long another instance that is reading itself is asked before the store
-/// is read after all, for each step from there: it waits for the one before it.
+/// How long an instance that is itself reading is asked before the store is
+/// read instead. The time is multiplied by this instance's depth in the tree,
+/// as each parent may wait for its own.
 const PARENT_TIMEOUT: Duration = Duration::from_millis(6_000);
-/// How long a start waits to learn that anybody lives.
+/// How long a start waits until any member is known.
 const FIRST_MEMBER_TIMEOUT: Duration = Duration::from_millis(500);
-/// How long it waits until most members show: several readings of a group that
-/// all others read too.
+/// How long a start waits until most members show up. This takes several reads
+/// of the group, which all others read too.
 const ALL_MEMBERS_TIMEOUT: Duration = Duration::from_millis(6_000);
-/// Pause between looks.
+/// Interval between checks of the members.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// Largest answer of a peer.
+/// Maximum size of a peer's response, in bytes.
 const MAX_RESPONSE_BYTES: usize = 64 << 20;
 
-/// A record on its way between instances.
+/// A record in a [`Snapshot`].
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 struct SnapshotRecord {
     #[prost(uint64, tag = "1")]
@@ -63,34 +64,34 @@
     end: u64,
     #[prost(message, repeated, tag = "2")]
     records: Vec<SnapshotRecord>,
-    /// Keys whose newest record lies beyond the end.
+    /// Keys whose newest record lies at or beyond the end.
     #[prost(string, repeated, tag = "3")]
     beyond: Vec<String>,
 }
 
 impl Snapshot {
     fn new(read: &Records) -> Snapshot {
-        let record = |record: &Record| SnapshotRecord {
+        let encode = |record: &Record| SnapshotRecord {
             offset: record.offset,
             key: record.key.clone(),
             value: record.value.clone().unwrap_or_default(),
         };
         Snapshot {
             end: read.end,
-            records: read.records.iter().map(record).collect(),
+            records: read.records.iter().map(encode).collect(),
             beyond: read.beyond.clone(),
         }
     }
 
     fn into_records(self) -> Records {
-        let record = |record: SnapshotRecord| Record {
+        let decode = |record: SnapshotRecord| Record {
             offset: record.offset,
             key: record.key,
             value: Some(record.value),
         };
         Records {
             end: self.end,
-            records: self.records.into_iter().map(record).collect(),
+            records: self.records.into_iter().map(decode).collect(),
             beyond: self.beyond,
         }
     }
@@ -98,7 +99,7 @@
 
 struct CachedSnapshot {
     body: Bytes,
-    /// How old it was when it was kept, and when that was.
+    /// Its age at `cached_at`.
     age_ms: u64,
     cached_at: Time,
 }
@@ -109,7 +110,7 @@
     }
 }
 
-/// What was read lately and is handed on.
+/// Snapshots that were read recently and are served to other instances.
 #[derive(Default)]
 pub struct Relay {
     cached: RefCell<HashMap<Partition, CachedSnapshot>>,
@@ -123,7 +124,7 @@
 }
 
 impl Relay {
-    /// Drops what is too old to be handed on.
+    /// Evicts snapshots that are too old to be served.
     pub fn expire(&self, now: Time) {
         self.cached.borrow_mut().retain(|_, cached| cached.age_ms(now) < CACHE_MS);
     }
@@ -136,8 +137,8 @@
     }
 }
 
-/// Keeps a partition's newest records, so old by now, for others of the
-/// failure domain.
+/// Caches a snapshot of a partition, which is `age_ms` old, for other instances
+/// of the failure domain, if any of them uses this one.
 pub fn keep(shared: &Shared, part: &Partition, read: &Records, age_ms: u64) {
     if relay::is_used(shared.control.borrow().roster.members(), &shared.instance_id) {
         let body = Bytes::from(Snapshot::new(read).encode_to_vec());
@@ -147,9 +148,8 @@
     shared.relay.changed.notify_waiters();
 }
 
-/// The newest records of a partition from another instance, and how long ago
-/// they were read from the store, in milliseconds; `None` if this one is to
-/// read the store.
+/// Fetches a snapshot of a partition from another instance, with its age in
+/// milliseconds; `None` if this instance must read the store.
 pub async fn fetch(shared: &Rc<Shared>, part: &Partition) -> Option<(Records, u64)> {
     wait_for_members(shared).await;
     let depth = {
@@ -158,7 +158,7 @@
     };
     let until = Instant::now() + PARENT_TIMEOUT * depth;
     while Instant::now() < until {
-        // Asked each time: the members may be another's by now.
+        // Determined for each request: the members may have changed.
         let parent = {
             let control = shared.control.borrow();
             relay::parent(control.roster.members(), &shared.instance_id).map(str::to_owned)
@@ -175,7 +175,7 @@
             }
             Ok(None) => {}
             Err(why) => {
-                log::info!("{}/{} is not to be had from {parent}: {why}", part.topic, part.number);
+                log::info!("fetching {}/{} from {parent} failed: {why}", part.topic, part.number);
                 return None;
             }
         }
@@ -183,8 +183,8 @@
     None
 }
 
-/// Waits until it is known who else may be starting: whoever decides earlier
-/// sees few others, and reads the store like all of them.
+/// Waits until the members are known. An instance that decided earlier would
+/// see few others and read the store itself, as all of them would.
 async fn wait_for_members(shared: &Shared) {
     let started = Instant::now();
     loop {
@@ -192,15 +192,15 @@
             let control = shared.control.borrow();
             (control.census.is_settled(), !control.roster.members().is_empty())
         };
-        let most = if is_known { ALL_MEMBERS_TIMEOUT } else { FIRST_MEMBER_TIMEOUT };
-        if is_settled || started.elapsed() >= most {
+        let timeout = if is_known { ALL_MEMBERS_TIMEOUT } else { FIRST_MEMBER_TIMEOUT };
+        if is_settled || started.elapsed() >= timeout {
             return;
         }
         sleep(POLL_INTERVAL).await;
     }
 }
 
-/// Asks once; `None` if the other instance is still reading itself.
+/// Sends one request; `None` if the other instance is itself still reading.
 async fn fetch_from(
     shared: &Rc<Shared>,
     part: &Partition,
@@ -215,7 +215,7 @@
         StatusCode::OK => {
             let age = age.and_then(|age| age.parse::<u64>().ok()).ok_or("no age")?;
             let snapshot = Snapshot::decode(body).map_err(|error| error.to_string())?;
-            // The header counts whole seconds, rounded up.
+            // The header's unit is a second, rounded up.
             Ok(Some((snapshot.into_records(), age * 1_000)))
         }
         StatusCode::SERVICE_UNAVAILABLE => Ok(None),
@@ -223,9 +223,9 @@
     }
 }
 
-/// Answers a peer that asks for a partition's newest records: with what was
-/// read lately, once it is read if this instance is reading itself, or not at
-/// all if it was read long ago.
+/// Answers a peer's request for a snapshot of a partition. The snapshot is sent
+/// if it is cached, or once it is read if this instance is still reading;
+/// otherwise it was read too long ago, and the answer is 404.
 pub async fn respond(shared: &Rc<Shared>, path: &str) -> Response<Full<Bytes>> {
     let Some(part) = parse_path(shared, path) else {
         return peers::empty_response(StatusCode::NOT_FOUND);
@@ -247,14 +247,14 @@
     }
 }
 
-/// Whether a partition's newest records are taken from other instances: what
-/// is large at a start.
+/// Whether snapshots of a partition are fetched from other instances: those
+/// that are large at a start.
 #[must_use]
 pub fn is_relayed(shared: &Shared, part: &Partition) -> bool {
     part.topic == JOBS || part.topic == shared.codec.announcements
 }
 
-/// Whether a relayed partition was read from its beginning.
+/// Whether this instance has read a relayed partition.
 fn is_read(shared: &Shared, part: &Partition) -> bool {
     let control = shared.control.borrow();
     match part.topic == JOBS {
@@ -263,7 +263,7 @@
     }
 }
 
-/// The relayed partition that a path names.
+/// Parses a path into the relayed partition that it names.
 fn parse_path(shared: &Shared, path: &str) -> Option<Partition> {
     let (topic, number) = path.strip_prefix(PATH)?.rsplit_once('/')?;
     let part = Partition::new(topic, number.parse().ok()?);
