--- a/crates/hollywell/src/entry/capacity.rs
+++ b/crates/hollywell/src/entry/capacity.rs
@@ -149,7 +149,7 @@
                 hints::publish(shared, &Hint::Trimmed { part, texts: topic == TEXTS, before })
                     .await;
             }
-            Err(fault) => log::info!("{topic}/{part} is not trimmed yet: {fault}"),
+            Err(error) => log::info!("{topic}/{part} is not trimmed yet: {error}"),
         }
     }
 }
@@ -194,8 +194,8 @@
     };
     match shared.reader.read(read).await {
         Ok(records) => records.end.max(known),
-        Err(fault) => {
-            log::info!("the end of {TEXTS}/{part} is not known: {fault}");
+        Err(error) => {
+            log::info!("the end of {TEXTS}/{part} is not known: {error}");
             known
         }
     }
--- a/crates/hollywell/src/entry/duties.rs
+++ b/crates/hollywell/src/entry/duties.rs
@@ -100,8 +100,8 @@
     async fn step(&mut self, shared: &Rc<Shared>, now_ms: u64) {
         let (ledger, end, spent) = match read(shared).await {
             Ok(read) => read,
-            Err(fault) => {
-                log::info!("reading what is due: {fault}");
+            Err(error) => {
+                log::info!("reading what is due: {error}");
                 return self.back_off().await;
             }
         };
@@ -233,8 +233,8 @@
     let append = Append { part, records, expected_end: Some(end), purpose };
     match shared.append(append).await {
         Ok(_) => true,
-        Err(fault) => {
-            log::info!("writing down what is due: {fault}");
+        Err(error) => {
+            log::info!("writing down what is due: {error}");
             false
         }
     }
@@ -247,7 +247,7 @@
     }
     let records = keys.into_iter().map(|key| (Some(key), Bytes::new())).collect();
     let (part, purpose) = (Partition::new(counted::TOPIC, 0), Use::Drop);
-    if let Err(fault) = shared.append(Append { part, records, expected_end: None, purpose }).await {
-        log::info!("dropping counts that were reported: {fault}");
+    if let Err(error) = shared.append(Append { part, records, expected_end: None, purpose }).await {
+        log::info!("dropping counts that were reported: {error}");
     }
 }
--- a/crates/hollywell/src/entry/ends.rs
+++ b/crates/hollywell/src/entry/ends.rs
@@ -1,5 +1,5 @@
-//! Ends that are not in the store yet: what [`crate::core::ending`] decides
-//! is carried out here, and peers' word is taken in.
+//! Requested ends of jobs that are not stored yet. Carries out the decisions of
+//! [`crate::core::ending`], and receives peers' notices of ends.
 
 use std::{collections::BTreeSet, rc::Rc, time::Duration};
 
@@ -23,34 +23,34 @@
     },
 };
 
-/// The path on which peers tell of ends.
+/// The path on which peers send notices of ends.
 pub const PATH: &str = "/ends";
-/// How long to wait for an end whose append got no answer to be read.
+/// How long a caller waits until the end is stored or read.
 const END_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// Pause between looks.
+/// Interval between checks of that.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// Time between ticks of the reducer while an end is held.
+/// Interval between ticks of the reducer while any end is held.
 const TICK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// What one peer tells another.
+/// A notice of ends, sent to a peer.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 struct EndNotice {
-    /// Who tells.
+    /// The sender.
     #[prost(string, tag = "1")]
     by: String,
-    /// Jobs whose ends were asked for.
+    /// Jobs whose ends were requested.
     #[prost(string, repeated, tag = "2")]
     jobs: Vec<String>,
 }
 
-/// Takes an event in and carries its effects out.
+/// Steps the reducer of ends with an event and applies its effects.
 pub fn handle_event(shared: &Rc<Shared>, event: &Event) {
     let now = shared.now();
     let effects = shared.control.borrow_mut().ending.step(now, event);
     for effect in effects {
         match effect {
             Effect::Close(job) => {
-                log::info!("end of job {job} is held: nothing more of it runs here");
+                log::info!("end of job {job} is held: none of its samples runs here any more");
                 shared.close_job(&job);
             }
             Effect::Append(job) => {
@@ -63,8 +63,8 @@
     }
 }
 
-/// Ends a job for a caller: it stops at once, whatever the store does. The
-/// answer is [`JobReply::Done`] only once the store has the end.
+/// Ends a job for a caller. The job stops at once, whether or not the store is
+/// available; the reply is [`JobReply::Done`] only once the end is stored.
 pub async fn end_job(shared: &Rc<Shared>, job: &str, known: bool) -> JobReply {
     handle_event(shared, &Event::Asked { job: job.to_owned(), known });
     if !known {
@@ -74,7 +74,7 @@
     loop {
         match progress(shared, job) {
             Progress::Done => return JobReply::Done,
-            // It goes on being tried; the caller is not kept for that.
+            // The append is retried, but the caller does not wait for that.
             Progress::Refused => return JobReply::OutcomeUnknown,
             Progress::Open if Instant::now() >= until => return JobReply::OutcomeUnknown,
             Progress::Open => sleep(POLL_INTERVAL).await,
@@ -88,7 +88,7 @@
     Open,
 }
 
-/// Whether a job's end was read.
+/// Whether a job's end was read from the store.
 fn is_ended(shared: &Shared, job: &str) -> bool {
     let control = shared.control.borrow();
     let job = control.partitions[shared.partition_of(job)].index.jobs.get(job);
@@ -104,15 +104,15 @@
     if control.ending.is_refused(job) { Progress::Refused } else { Progress::Open }
 }
 
-/// Leaves the end of a job that does not exist in the store, for when its
-/// head is appended late: whoever was told nothing about its submission may
-/// ask for its end first. It is dropped if the job does not come.
+/// Stores the end of a job that does not exist, in case its manifest is
+/// appended late: a caller whose submission got no response may request the
+/// end before that. The record is deleted if the job does not appear.
 pub fn store_early_end(shared: &Rc<Shared>, job: &str) {
     shared.orphans.end(shared.now(), shared.partition_of(job), job);
     let (shared, job) = (shared.clone(), job.to_owned());
     tokio::task::spawn_local(async move {
-        if let Err(fault) = append_end(&shared, &job).await {
-            log::info!("end of job {job}, which is not known, is not kept: {fault}");
+        if let Err(error) = append_end(&shared, &job).await {
+            log::info!("storing the end of job {job}, which is not known: {error}");
         }
     });
 }
@@ -130,9 +130,9 @@
             log::info!("end of job {job} accepted");
             Event::Stored(job)
         }
-        Err(fault) => {
-            log::info!("end of job {job} is kept for another append: {fault}");
-            let refused = fault.is_not_applied() || matches!(fault, StoreError::Malformed(_));
+        Err(error) => {
+            log::info!("end of job {job} is kept for another append: {error}");
+            let refused = error.is_not_applied() || matches!(error, StoreError::Malformed(_));
             Event::Failed { job, refused }
         }
     };
@@ -143,11 +143,11 @@
     let notice = EndNotice { by: shared.instance_id.clone(), jobs };
     match peers::post(&shared, &member, PATH, notice.encode_to_vec().into()).await {
         Ok(()) => handle_event(&shared, &Event::Confirmed { member, jobs: notice.jobs }),
-        Err(why) => log::info!("telling {member} of {} ends: {why}", notice.jobs.len()),
+        Err(why) => log::info!("notifying {member} of {} ends: {why}", notice.jobs.len()),
     }
 }
 
-/// Lets time pass for the ends that are held.
+/// Sends the reducer ticks, and ends that were read, while any end is held.
 pub async fn tick(shared: Rc<Shared>) {
     loop {
         sleep(TICK_INTERVAL).await;
@@ -173,7 +173,7 @@
     }
 }
 
-/// Takes in what a peer tells.
+/// Receives a peer's notice of ends.
 pub async fn receive(shared: &Rc<Shared>, request: Request<Incoming>) -> Response<Full<Bytes>> {
     let EndNotice { by, jobs } = match peers::decode_body(request).await {
         Ok(notice) => notice,
--- a/crates/hollywell/src/entry/follow.rs
+++ b/crates/hollywell/src/entry/follow.rs
@@ -262,9 +262,9 @@
                 log::warn!("records of {}/{} before {first} were trimmed", part.topic, part.number);
                 position.next = (!keyed).then_some(first);
             }
-            Err(fault) => {
+            Err(error) => {
                 shared.record_store_result(false);
-                log::info!("reading {}/{}: {fault}", part.topic, part.number);
+                log::info!("reading {}/{}: {error}", part.topic, part.number);
                 position.fail();
                 shared.reader.back_off(position.failures).await;
             }
--- a/crates/hollywell/src/entry/garbage.rs
+++ b/crates/hollywell/src/entry/garbage.rs
@@ -116,9 +116,9 @@
             let due = find_deletions(&shared, part, &garbage);
             match delete(&shared, part, &due).await {
                 Ok(()) => record_deleted(&shared, part, due, &mut garbage),
-                Err(fault) => {
+                Err(error) => {
                     let count = due.keys.jobs.len() + due.keys.texts.len();
-                    log::info!("{count} records of partition {part} are not dropped yet: {fault}");
+                    log::info!("{count} records of partition {part} are not dropped yet: {error}");
                 }
             }
         }
--- a/crates/hollywell/src/entry/hints.rs
+++ b/crates/hollywell/src/entry/hints.rs
@@ -53,7 +53,7 @@
     let (part, purpose) = (Partition::new(TOPIC, 0), Use::News);
     match shared.append(Append { part, records, expected_end: None, purpose }).await {
         Ok(_) => {}
-        Err(fault) => log::info!("publishing the hint {hint:?}: {fault}"),
+        Err(error) => log::info!("publishing the hint {hint:?}: {error}"),
     }
 }
 
--- a/crates/hollywell/src/entry/lease.rs
+++ b/crates/hollywell/src/entry/lease.rs
@@ -137,9 +137,9 @@
                 state.read_to(records.end);
             }
             Err(StoreError::Trimmed(first)) => self.state.borrow_mut().end = first,
-            Err(fault) => {
+            Err(error) => {
                 shared.record_store_result(false);
-                log::info!("reading the lease of {}: {fault}", self.subject);
+                log::info!("reading the lease of {}: {error}", self.subject);
                 sleep(RENEW_INTERVAL).await;
             }
         }
@@ -179,8 +179,8 @@
                 // instance's whose answer was lost, is read next.
                 self.read(shared).await;
             }
-            Err(fault) => {
-                log::info!("claiming the lease of {}: {fault}", self.subject);
+            Err(error) => {
+                log::info!("claiming the lease of {}: {error}", self.subject);
                 sleep(CLAIM_RETRY).await;
             }
         }
--- a/crates/hollywell/src/entry/member.rs
+++ b/crates/hollywell/src/entry/member.rs
@@ -114,9 +114,9 @@
                 }
                 generation = newest;
             }
-            Err(fault) => {
+            Err(error) => {
                 shared.record_store_result(false);
-                log::info!("staying in the group: {fault}");
+                log::info!("staying in the group: {error}");
             }
         }
         tokio::select! {
@@ -152,9 +152,9 @@
                 record_census(&shared, &listing);
                 apply_members(&shared, &listing.members, requested_at);
             }
-            Err(fault) => {
+            Err(error) => {
                 shared.record_store_result(false);
-                log::info!("reading the group: {fault}");
+                log::info!("reading the group: {error}");
                 failures += 1;
                 shared.reader.back_off(failures).await;
             }
--- a/crates/hollywell/src/entry/shared.rs
+++ b/crates/hollywell/src/entry/shared.rs
@@ -327,12 +327,12 @@
                 let bytes = u64::try_from(bytes).unwrap_or(u64::MAX);
                 self.meters.appended_bytes.with_label_values(&[purpose]).inc_by(bytes);
             }
-            Err(fault) => {
-                if *fault == StoreError::Full {
+            Err(error) => {
+                if *error == StoreError::Full {
                     let now = self.now();
                     self.control.borrow_mut().capacity.refused(now);
                 }
-                self.meters.failed_appends.with_label_values(&[purpose, fault.as_str()]).inc();
+                self.meters.failed_appends.with_label_values(&[purpose, error.as_str()]).inc();
             }
         }
         appended
--- a/crates/hollywell/src/entry/suspects.rs
+++ b/crates/hollywell/src/entry/suspects.rs
@@ -1,6 +1,6 @@
-//! What is known against requests, shared by all instances: through a keyed
-//! topic of the store, and from peer to peer while the store takes nothing.
-//! [`crate::core::poison`] decides what follows from it.
+//! Suspects, requests that may have ended targets, as shared by all instances:
+//! through a keyed topic of the store, and from peer to peer while the store
+//! accepts no appends. [`crate::core::poison`] decides what follows.
 
 use std::{cell::RefCell, collections::BTreeSet, rc::Rc, time::Duration};
 
@@ -25,62 +25,63 @@
     },
 };
 
-/// The path on which peers tell what they know.
+/// The path on which peers send records of suspects.
 pub const PATH: &str = "/suspects";
-/// The topic, of one partition: a target that ends brings a few records.
+/// The topic; one partition is enough, as a target that ends causes only a few
+/// records.
 const TOPIC: &str = "keyed.suspects";
-/// Least time between reads. The same request comes again within a few
+/// Minimum interval between reads. The same request is retried within a few
 /// milliseconds, at any instance.
 const READ_INTERVAL: Duration = Duration::from_millis(20);
-/// The path on which turns to try a suspect are asked for.
+/// The path on which peers request permits for isolated probes.
 pub const PERMIT_PATH: &str = "/suspects/turn";
-/// How long the answer to that is waited for: a round trip, and what a busy
-/// instance takes. Callers of plain requests wait for a second or so.
+/// Timeout of such a request: a round trip, and the time that a busy instance
+/// takes. Callers of plain requests wait for about a second.
 const PERMIT_TIMEOUT: Duration = Duration::from_millis(150);
-/// Most records of one append or one peer's word.
+/// Maximum number of records in one append or message.
 const MAX_BATCH: usize = 256;
-/// Pause after a failed append, at first and at most.
+/// Delay after a failed append, doubled with each further failure.
 const RETRY: Duration = Duration::from_millis(200);
-/// See [`RETRY`].
+/// Maximum delay after failed appends.
 const MAX_RETRY: Duration = Duration::from_secs(5);
 
-/// What one peer tells another.
+/// Records of suspects, sent to a peer.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 struct SuspectList {
     #[prost(message, repeated, tag = "1")]
     records: Vec<SuspectRecord>,
 }
 
-/// A record as the store keeps it.
+/// A record of a suspect as it is stored.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 struct SuspectRecord {
     #[prost(string, tag = "1")]
     digest: String,
-    /// Empty if nothing is known against the request any more.
+    /// Empty if the request is no longer suspected.
     #[prost(bytes = "bytes", tag = "2")]
     record: Bytes,
 }
 
-/// A word about a turn.
+/// A request for a permit, or the return of one.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 struct PermitRequest {
     #[prost(string, tag = "1")]
     pool: String,
-    /// Names the try.
+    /// Identifies the probe.
     #[prost(string, tag = "2")]
     who: String,
-    /// The turn is given back.
+    /// The permit is returned.
     #[prost(bool, tag = "3")]
-    is_over: bool,
+    is_return: bool,
 }
 
 impl PermitRequest {
-    fn over(&self) -> Bytes {
-        PermitRequest { is_over: true, ..self.clone() }.encode_to_vec().into()
+    fn encode_return(&self) -> Bytes {
+        PermitRequest { is_return: true, ..self.clone() }.encode_to_vec().into()
     }
 }
 
-/// What others are still to be told.
+/// Suspects whose records are not stored yet.
 #[derive(Debug, Default)]
 pub struct UnsavedSuspects {
     digests: RefCell<BTreeSet<Digest>>,
@@ -93,7 +94,7 @@
         self.changed.notify_one();
     }
 
-    /// Keeps what the store did not take for the next append.
+    /// Puts back what the store did not accept, for the next append.
     fn put_back(&self, digests: Vec<Digest>) {
         self.digests.borrow_mut().extend(digests);
     }
@@ -104,8 +105,7 @@
     }
 }
 
-/// What is to be done with a request. Its digest is taken only if something
-/// is known against any.
+/// How to treat a request. Its digest is computed only if there is any suspect.
 pub fn verdict(shared: &Shared, digest: impl FnOnce() -> Digest) -> Verdict {
     let control = shared.control.borrow();
     if control.poison.is_empty() {
@@ -114,16 +114,16 @@
     control.poison.verdict(unix_ms(), digest())
 }
 
-/// Where a suspect may be tried.
+/// The target of an isolated probe of a suspect.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ProbeTarget {
-    /// At this target.
+    /// This target.
     At(Box<Announcement>),
-    /// Nowhere for now: its pool would be left without a sound target.
+    /// No target for now: the pool would be left without a healthy one.
     Nowhere,
 }
 
-/// Where a suspect may be tried among a pool's targets.
+/// Selects a pool's target for an isolated probe of a suspect.
 pub fn probe_target(shared: &Shared, pool: &str, digest: Digest) -> ProbeTarget {
     let (now, control) = (shared.now(), shared.control.borrow());
     let since_ms = control.poison.since_end_ms(unix_ms(), digest).unwrap_or(u64::MAX);
@@ -134,21 +134,21 @@
     }
 }
 
-/// A pool's targets at which no exchange broke a moment ago.
+/// A pool's targets without a recently broken exchange.
 fn healthy<'a>(control: &'a Control, now: Time, pool: &'a str) -> Vec<&'a str> {
     let all = control.fleet.usable(pool).map(|target| target.said.id.as_str());
     all.filter(|id| !control.observations.is_broken(now, id)).collect()
 }
 
-/// Whether a suspect's last end is so long ago that it is alone where it is
-/// tried.
+/// Whether a suspect last ended a target so long ago that a probe of it would
+/// run alone at its target.
 pub fn is_settled(shared: &Shared, digest: Digest) -> bool {
     let since_ms = shared.control.borrow().poison.since_end_ms(unix_ms(), digest);
     since_ms.is_none_or(|since_ms| since_ms >= poison::SETTLE_MS)
 }
 
-/// The target of a pool that is kept free for suspects, while any may be
-/// tried soon.
+/// The target of a pool that is kept free for isolated probes, while any may
+/// start soon.
 pub fn reserved_target(shared: &Shared, pool: &str) -> Option<String> {
     let (now, control) = (shared.now(), shared.control.borrow());
     if !control.poison.is_trying(unix_ms()) {
@@ -157,21 +157,21 @@
     poison::trial(&healthy(&control, now, pool), 0).map(str::to_owned)
 }
 
-/// The turn to try a suspect at a pool, which one of all instances has at a
-/// time. Dropped, it is given back.
+/// Permit for an isolated probe of a suspect at a pool. One instance of all
+/// holds it at a time; it is returned on drop.
 pub struct ProbePermit {
     shared: Rc<Shared>,
     request: PermitRequest,
-    /// The turn that was taken of those that this instance gives out.
+    /// Name of the permit taken from those that this instance issues.
     subject: String,
-    /// Who gives out the pool's; `None` if that is this instance.
+    /// The instance that issues the pool's permit; `None` if it is this one.
     issuer: Option<String>,
     expires: bool,
 }
 
 impl ProbePermit {
-    /// Leaves the turn taken until it ends by itself: others are to learn
-    /// first what came of the try.
+    /// Leaves the permit taken until it expires, so that the other instances
+    /// learn the outcome of the probe before the next one.
     pub fn keep(mut self) {
         self.expires = true;
     }
@@ -186,51 +186,51 @@
         let Some(issuer) = self.issuer.take() else {
             return;
         };
-        let (shared, over) = (self.shared.clone(), self.request.over());
+        let (shared, body) = (self.shared.clone(), self.request.encode_return());
         tokio::task::spawn_local(async move {
-            // It ends by itself where this is lost.
-            let _told = peers::post(&shared, &issuer, PERMIT_PATH, over).await;
+            // If this is lost, the permit expires.
+            let _result = peers::post(&shared, &issuer, PERMIT_PATH, body).await;
         });
     }
 }
 
-/// Asks for the turn to try a suspect at a pool; `None` while another one is
-/// tried there, or whoever gives turns out cannot be reached.
+/// Acquires the permit for an isolated probe at a pool; `None` while another
+/// suspect is probed there, or if the issuer cannot be reached.
 pub async fn acquire_probe_permit(shared: &Rc<Shared>, pool: &str) -> Option<ProbePermit> {
     let issuer = {
         let control = shared.control.borrow();
         dispatch::owner(control.roster.members(), PERMIT_PATH, pool).map(str::to_owned)
     }?;
     let issuer = Some(issuer).filter(|issuer| *issuer != shared.instance_id);
-    // An instance asks for one at a time, however many suspects wait here.
+    // One request at a time per instance and pool, however many suspects wait.
     let subject = if issuer.is_some() { format!("here/{pool}") } else { pool.to_owned() };
     let request =
-        PermitRequest { pool: pool.to_owned(), who: shared.unique_key_part(), is_over: false };
+        PermitRequest { pool: pool.to_owned(), who: shared.unique_key_part(), is_return: false };
     let now = shared.now();
     if !shared.probe_permits.borrow_mut().take(now, &subject, &request.who) {
         return None;
     }
-    let word = Bytes::from(request.encode_to_vec());
+    let body = Bytes::from(request.encode_to_vec());
     let permit = ProbePermit { shared: shared.clone(), request, subject, issuer, expires: false };
     let Some(issuer) = permit.issuer.clone() else {
         return Some(permit);
     };
-    // One whose answer comes too late is given back, as any other.
-    let given = timeout(PERMIT_TIMEOUT, peers::post(shared, &issuer, PERMIT_PATH, word)).await;
+    // If the response is late, the permit is returned on drop like any other.
+    let given = timeout(PERMIT_TIMEOUT, peers::post(shared, &issuer, PERMIT_PATH, body)).await;
     matches!(given, Ok(Ok(()))).then_some(permit)
 }
 
-/// Gives a turn to a peer, or takes it back.
+/// Receives a peer's request for a permit, or the return of one.
 pub async fn receive_permit_request(
     shared: &Rc<Shared>,
     request: Request<Incoming>,
 ) -> Response<Full<Bytes>> {
-    let PermitRequest { pool, who, is_over } = match peers::decode_body(request).await {
+    let PermitRequest { pool, who, is_return } = match peers::decode_body(request).await {
         Ok(request) => request,
         Err(status) => return peers::empty_response(status),
     };
     let (now, mut permits) = (shared.now(), shared.probe_permits.borrow_mut());
-    if is_over {
+    if is_return {
         permits.give_back(&pool, &who);
         return peers::empty_response(StatusCode::OK);
     }
@@ -238,9 +238,9 @@
     peers::empty_response(if is_free { StatusCode::OK } else { StatusCode::CONFLICT })
 }
 
-/// Finds out whether a target, with which an exchange has broken, has ended;
-/// if so, that counts against the request that was there.
-/// `is_alone` if nothing else was sent there meanwhile, as far as is known.
+/// Checks whether a target has ended after an exchange with it broke; if so,
+/// that counts against the request. `is_alone` says that nothing else was sent
+/// to the target meanwhile, as far as is known.
 pub async fn check_ended(
     shared: &Rc<Shared>,
     target: &Announcement,
@@ -267,7 +267,7 @@
     true
 }
 
-/// Notes that a target has answered a request, or goes on with it.
+/// Records that a target has answered a request or is still generating.
 pub fn record_served(shared: &Shared, digest: impl FnOnce() -> Digest) {
     let known = {
         let mut control = shared.control.borrow_mut();
@@ -278,27 +278,27 @@
         control.poison.served(digest).then_some(digest)
     };
     if let Some(digest) = known {
-        log::info!("{digest} was served: nothing is held against it");
+        log::info!("{digest} was served: it is no longer suspected");
         shared.unsaved_suspects.add(digest);
     }
 }
 
-/// Forgets what nothing follows from any more. One instance drops it from the
-/// store.
+/// Expires suspects without further effect. One instance of all deletes their
+/// records from the store.
 pub fn expire(shared: &Shared) {
     let mut control = shared.control.borrow_mut();
-    let over = control.poison.expire(unix_ms());
+    let expired = control.poison.expire(unix_ms());
     let members = control.roster.members();
-    let is_mine = |digest: &&Digest| {
+    let is_owner = |digest: &&Digest| {
         dispatch::owner(members, &digest.to_string(), "") == Some(shared.instance_id.as_str())
     };
-    over.iter().filter(is_mine).for_each(|digest| shared.unsaved_suspects.add(*digest));
+    expired.iter().filter(is_owner).for_each(|digest| shared.unsaved_suspects.add(*digest));
 }
 
-/// Brings what is known here to the store until the instance stops, and to
-/// the peers while the store does not take it.
+/// Stores the suspects known here until the instance stops, and sends them to
+/// the peers while the store does not accept them.
 pub async fn save(shared: Rc<Shared>) {
-    let mut pause = RETRY;
+    let mut delay = RETRY;
     loop {
         let digests = shared.unsaved_suspects.take();
         if digests.is_empty() {
@@ -307,15 +307,15 @@
         }
         let records = records_of(&shared, &digests);
         match append(&shared, &records).await {
-            Ok(()) => pause = RETRY,
-            Err(fault) => {
-                log::info!("{} suspects are kept for another append: {fault}", records.len());
+            Ok(()) => delay = RETRY,
+            Err(error) => {
+                log::info!("{} suspects are kept for another append: {error}", records.len());
                 notify_all(&shared, &records);
                 shared.unsaved_suspects.put_back(digests);
-                // What becomes known meanwhile does not wait: peers must know
-                // it however long the store has been away.
-                let _woken = timeout(pause, shared.unsaved_suspects.changed.notified()).await;
-                pause = (pause * 2).min(MAX_RETRY);
+                // A new suspect ends the delay: peers must learn of it however
+                // long the store has been unavailable.
+                let _woken = timeout(delay, shared.unsaved_suspects.changed.notified()).await;
+                delay = (delay * 2).min(MAX_RETRY);
             }
         }
     }
@@ -323,45 +323,45 @@
 
 fn records_of(shared: &Shared, digests: &[Digest]) -> Vec<SuspectRecord> {
     let control = shared.control.borrow();
-    let one = |digest: &Digest| SuspectRecord {
+    let encode = |digest: &Digest| SuspectRecord {
         digest: digest.to_string(),
         record: control.poison.record(*digest).unwrap_or_default().into(),
     };
-    digests.iter().map(one).collect()
+    digests.iter().map(encode).collect()
 }
 
 async fn append(shared: &Shared, records: &[SuspectRecord]) -> Result<(), StoreError> {
-    let record = |records: &SuspectRecord| (Some(records.digest.clone()), records.record.clone());
-    let records = records.iter().map(record).collect();
+    let encode = |record: &SuspectRecord| (Some(record.digest.clone()), record.record.clone());
+    let records = records.iter().map(encode).collect();
     let (part, purpose) = (Partition::new(TOPIC, 0), Use::Suspect);
     shared.append(Append { part, records, expected_end: None, purpose }).await.map(|_| ())
 }
 
 fn notify_all(shared: &Rc<Shared>, records: &[SuspectRecord]) {
-    let word = Bytes::from(SuspectList { records: records.to_vec() }.encode_to_vec());
+    let body = Bytes::from(SuspectList { records: records.to_vec() }.encode_to_vec());
     let members = shared.control.borrow().roster.members().to_vec();
     for member in members.into_iter().filter(|member| *member != shared.instance_id) {
-        tokio::task::spawn_local(notify(shared.clone(), member, word.clone()));
+        tokio::task::spawn_local(notify(shared.clone(), member, body.clone()));
     }
 }
 
-async fn notify(shared: Rc<Shared>, member: String, word: Bytes) {
-    if let Err(why) = peers::post(&shared, &member, PATH, word).await {
-        log::info!("telling {member} of suspects: {why}");
+async fn notify(shared: Rc<Shared>, member: String, body: Bytes) {
+    if let Err(why) = peers::post(&shared, &member, PATH, body).await {
+        log::info!("notifying {member} of suspects: {why}");
     }
 }
 
-/// Takes in what a peer tells.
+/// Receives records of suspects from a peer.
 pub async fn receive(shared: &Rc<Shared>, request: Request<Incoming>) -> Response<Full<Bytes>> {
     let SuspectList { records } = match peers::decode_body(request).await {
-        Ok(word) => word,
+        Ok(body) => body,
         Err(status) => return peers::empty_response(status),
     };
     records.iter().for_each(|records| apply_record(shared, &records.digest, &records.record));
     peers::empty_response(StatusCode::OK)
 }
 
-/// Takes a record in, the store's or a peer's.
+/// Applies a record from the store or a peer.
 fn apply_record(shared: &Shared, key: &str, record: &[u8]) {
     let mut control = shared.control.borrow_mut();
     let taken = key.parse::<Digest>().and_then(|digest| {
@@ -377,7 +377,7 @@
     }
 }
 
-/// Follows what the instances have recorded.
+/// Follows the records of all instances.
 pub async fn serve(shared: Rc<Shared>) {
     let part = Partition::new(TOPIC, 0);
     follow::follow(
--- a/crates/hollywell/src/entry/usage.rs
+++ b/crates/hollywell/src/entry/usage.rs
@@ -111,8 +111,8 @@
         }
         let appended = append(&shared, &all).await;
         let failed_before = std::mem::replace(&mut is_failing, appended.is_err());
-        if let Err(fault) = appended {
-            log::info!("usage of {} windows is kept for another append: {fault}", own.len());
+        if let Err(error) = appended {
+            log::info!("usage of {} windows is kept for another append: {error}", own.len());
             if !failed_before {
                 hand_to_peers(&shared, &own);
             }
