--- a/crates/hollywell/src/entry/duties.rs
+++ b/crates/hollywell/src/entry/duties.rs
@@ -1,9 +1,10 @@
-//! Duties that one instance has at a time: reports to the platform's API.
+//! Duties that one instance at a time performs: usage reports to the platform's
+//! API.
 //!
-//! A lease says whose they are and gives the fencing number. What is to be
-//! reported is in the store before it is reported ([`crate::core::usage`]), so
-//! that a successor goes on with the same bytes. Nothing here touches serving:
-//! the API may be slow or away.
+//! A lease selects the instance and provides the fencing token. A report is
+//! stored before it is sent ([`crate::core::usage`]), so that a successor sends
+//! the same bytes. Serving does not depend on any of this: the API may be slow
+//! or unavailable.
 
 use std::{rc::Rc, time::Duration};
 
@@ -29,37 +30,38 @@
 
 /// The topic of the lease.
 const LEASE: &str = "duties";
-/// The topic of what was decided and reported; one partition.
+/// The topic of decided and sent reports; one partition.
 const TOPIC: &str = "keyed.duties";
-/// Time between looks at what is due.
+/// Interval between checks of what is due.
 const TICK_INTERVAL: Duration = Duration::from_millis(200);
-/// How long before something is due the lease announces it.
+/// How long before a report is due the holder announces it on the lease.
 const ANNOUNCE_AHEAD_MS: u64 = 500;
-/// Time that a call may take: well within what is left of a lease.
+/// Timeout of a call: well within what is left of a lease.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// Most time between calls that failed, in full jitter; doubled each time.
+/// Base of the back-off after failed calls, with full jitter; doubled each time.
 const RETRY_BASE: Duration = Duration::from_millis(250);
-/// Doublings of that time.
+/// Maximum number of doublings.
 const RETRY_DOUBLINGS: u32 = 3;
-/// Instances of each failure domain that compete for the lease. Each reads it
-/// all the time; with one lost there is another, and other domains have theirs.
+/// Instances of each failure domain that compete for the lease. Each of them
+/// reads it continuously; if one is lost there is another, and the other
+/// domains have their own.
 const CANDIDATES: usize = 2;
-/// Largest answer of the API.
+/// Maximum size of the API's response, in bytes.
 const MAX_RESPONSE_BYTES: usize = 64 << 10;
 
-/// One instance's part in the duties.
+/// State of an instance that may hold the duties.
 struct DutyHolder {
     duties: Duties,
     lease: Rc<Lease>,
     /// The window in which this instance first held the lease.
     from: Option<u64>,
-    /// Nothing is due before, in milliseconds since 1970.
+    /// Nothing is due before this time, in milliseconds since the Unix epoch.
     due_ms: u64,
-    /// Calls that failed in a row.
+    /// Number of failed calls in a row.
     failures: u32,
 }
 
-/// Does the duties whenever this instance holds them.
+/// Performs the duties while this instance holds the lease.
 pub async fn serve(shared: Rc<Shared>) {
     let Some(duties) = shared.settings.duties else {
         return;
@@ -75,16 +77,16 @@
         }
         let now_ms = counted::day_ms(&shared);
         holder.from.get_or_insert(duties.usage.window(now_ms));
-        let is_near = now_ms + ANNOUNCE_AHEAD_MS >= holder.due_ms;
-        holder.lease.set_wanted(is_near);
+        let is_due_soon = now_ms + ANNOUNCE_AHEAD_MS >= holder.due_ms;
+        holder.lease.set_wanted(is_due_soon);
         if now_ms >= holder.due_ms && !shared.control.borrow().stopping {
             holder.step(&shared, now_ms).await;
         }
     }
 }
 
-/// Whether this instance competes: few of each failure domain do, chosen
-/// alike by all from the members.
+/// Whether this instance competes for the lease. A few of each failure domain
+/// do; all instances derive the same ones from the members.
 fn is_candidate(shared: &Shared) -> bool {
     let control = shared.control.borrow();
     if control.stopping {
@@ -96,12 +98,12 @@
 }
 
 impl DutyHolder {
-    /// Reads what the store holds and does the next thing that is due.
+    /// Reads the stored state and performs the next step that is due.
     async fn step(&mut self, shared: &Rc<Shared>, now_ms: u64) {
-        let (ledger, end, spent) = match read(shared).await {
+        let (ledger, end, obsolete) = match read(shared).await {
             Ok(read) => read,
             Err(error) => {
-                log::info!("reading what is due: {error}");
+                log::info!("reading usage: {error}");
                 return self.back_off().await;
             }
         };
@@ -109,7 +111,7 @@
         let done = match ledger.next(now_ms, self.duties.usage, from) {
             Next::Wait(until_ms) => {
                 self.due_ms = until_ms;
-                delete_reported(shared, spent).await;
+                delete_reported(shared, obsolete).await;
                 return;
             }
             Next::Decide(window, counts) => {
@@ -132,9 +134,10 @@
         sleep(max.mul_f64(rand::random_range(0.0..=1.0))).await;
     }
 
-    /// Reports a window and notes that it is done; returns whether it is.
+    /// Reports a window and records that; returns whether both succeeded.
     async fn report(&self, shared: &Rc<Shared>, window: u64, report: Bytes, end: u64) -> bool {
-        // Asked last: reading may have taken long, or the process been paused.
+        // Checked last: the reads may have taken long, or the process may have
+        // been paused.
         let Some(fence) = self.lease.fencing_token(shared, CALL_TIMEOUT) else {
             return false;
         };
@@ -155,7 +158,7 @@
                 shared.meters.reported_window.set(i64::try_from(window).unwrap_or(i64::MAX));
                 write(shared, usage::reported(window), end).await
             }
-            // A holder of a later grant was there first.
+            // The holder of a later grant has already called.
             Ok(StatusCode::CONFLICT) => {
                 self.lease.release(shared).await;
                 false
@@ -193,8 +196,8 @@
     }
 }
 
-/// What the store holds of usage, the end of the partition of decisions, and
-/// the keys of pieces that nothing needs any more.
+/// Reads the usage in the store, the end of the partition of decisions, and the
+/// keys of counts that are no longer needed.
 async fn read(shared: &Shared) -> Result<(Ledger, u64, Vec<String>), StoreError> {
     let decided = newest(shared, TOPIC).await?;
     let pieces = newest(shared, counted::TOPIC).await?;
@@ -213,8 +216,8 @@
         log::warn!("{error}");
     }
     let keys = pieces.records.into_iter().map(|record| record.key);
-    let spent = keys.filter(|key| ledger.is_spent(key)).collect();
-    Ok((ledger, decided.end, spent))
+    let obsolete = keys.filter(|key| ledger.is_spent(key)).collect();
+    Ok((ledger, decided.end, obsolete))
 }
 
 async fn newest(shared: &Shared, topic: &str) -> Result<Records, StoreError> {
@@ -225,8 +228,8 @@
     Ok(newest.into_records())
 }
 
-/// Writes records of decisions where their log ended when it was read;
-/// returns whether they were taken.
+/// Appends records of decisions if their log still ends where it was read;
+/// returns whether that succeeded.
 async fn write(shared: &Shared, records: Vec<(String, Bytes)>, end: u64) -> bool {
     let records = records.into_iter().map(|(key, value)| (Some(key), value)).collect();
     let (part, purpose) = (Partition::new(TOPIC, 0), Use::Usage);
@@ -234,13 +237,13 @@
     match shared.append(append).await {
         Ok(_) => true,
         Err(error) => {
-            log::info!("writing down what is due: {error}");
+            log::info!("appending to {TOPIC}: {error}");
             false
         }
     }
 }
 
-/// Drops pieces of windows that were reported.
+/// Deletes the counts of windows that were reported.
 async fn delete_reported(shared: &Shared, keys: Vec<String>) {
     if keys.is_empty() {
         return;
@@ -248,6 +251,6 @@
     let records = keys.into_iter().map(|key| (Some(key), Bytes::new())).collect();
     let (part, purpose) = (Partition::new(counted::TOPIC, 0), Use::Drop);
     if let Err(error) = shared.append(Append { part, records, expected_end: None, purpose }).await {
-        log::info!("dropping counts that were reported: {error}");
+        log::info!("deleting counts that were reported: {error}");
     }
 }
--- a/crates/hollywell/src/entry/usage.rs
+++ b/crates/hollywell/src/entry/usage.rs
@@ -1,5 +1,5 @@
-//! Usage of organisations as this instance counts it, and its way to the
-//! store. [`crate::core::usage`] says what counts.
+//! Counts the requests of organisations at this instance and stores the
+//! counts. [`crate::core::usage`] defines what is counted.
 
 use std::{cell::RefCell, collections::BTreeMap, rc::Rc, time::Duration};
 
@@ -24,28 +24,28 @@
     },
 };
 
-/// The path on which peers bring what they could not store.
+/// The path on which peers send counts that they could not store.
 pub const PATH: &str = "/counts";
-/// The topic of what instances counted, of one partition: it is read whole,
-/// once a window, by whoever holds the duty.
+/// The topic of the instances' counts. It has one partition, as the holder of
+/// the duty reads all of it once a window.
 pub(super) const TOPIC: &str = "keyed.usage";
-/// Time in which counts are gathered before they are stored: what the loss of
-/// an instance costs. Longer with many instances, as they share the store's
-/// rate.
+/// How long counts are gathered before they are stored; the counts of this time
+/// are lost with an instance. It grows with the number of instances beyond
+/// [`GATHER_INSTANCES`], as they share the store's rate of calls.
 const GATHER: Duration = Duration::from_millis(250);
-/// Instances up to which it is that short.
+/// Number of instances up to which [`GATHER`] applies.
 const GATHER_INSTANCES: f64 = 50.0;
-/// How long the store may take before peers are asked: a window is added up
-/// some seconds after its end, and a silent store lets calls hang for as long.
+/// Timeout of an append, after which peers are asked. A window is added up some
+/// seconds after its end, and calls to an unresponsive store hang for as long.
 const APPEND_TIMEOUT: Duration = Duration::from_millis(600);
-/// Most time between tries to store counts.
+/// Maximum delay between attempts to store counts.
 const MAX_RETRY: Duration = Duration::from_millis(1_000);
-/// Peers that are asked to store what the store does not take from here.
+/// Number of peers that are asked to store counts in place of this instance.
 const PEERS_ASKED: usize = 2;
-/// Records that are carried for peers at most.
+/// Maximum number of records that are stored for peers at a time.
 const MAX_PEER_COUNTS: usize = 1_024;
 
-/// What a peer is asked to store.
+/// Counts that a peer is asked to store.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 struct CountList {
     #[prost(message, repeated, tag = "1")]
@@ -60,23 +60,23 @@
     value: Bytes,
 }
 
-/// What this instance counted and has not stored.
+/// Counts that are not stored yet.
 #[derive(Debug, Default)]
 pub struct Usage {
     tally: RefCell<Tally>,
     day: RefCell<Day>,
-    /// Records of peers that could not store them.
+    /// Records of peers, which could not store them.
     peer_counts: RefCell<BTreeMap<String, Bytes>>,
     changed: Notify,
 }
 
-/// The true time of day, in milliseconds since 1970, as far as it is known.
+/// Best estimate of the time, in milliseconds since the Unix epoch.
 pub(super) fn day_ms(shared: &Shared) -> u64 {
     shared.usage.day.borrow_mut().read(shared.now(), unix_ms())
 }
 
-/// Counts a request of an organisation that begins now; its window, if it is
-/// counted at all.
+/// Counts a request of an organisation that begins now. Returns its window, or
+/// `None` if the request is not counted.
 pub(super) fn count_request(shared: &Shared, organisation: &str) -> Option<u64> {
     let duties = shared.settings.duties.filter(|_| !organisation.is_empty())?;
     let window = duties.usage.window(day_ms(shared));
@@ -85,14 +85,14 @@
     Some(window)
 }
 
-/// Takes one back that did not begin after all.
+/// Takes back the count of a request that did not begin after all.
 pub(super) fn uncount_request(shared: &Shared, window: u64, organisation: &str) {
     shared.usage.tally.borrow_mut().undo(window, organisation);
     shared.usage.changed.notify_one();
 }
 
-/// Brings what is counted here to the store until the process ends, by way
-/// of peers where the store does not take it.
+/// Stores the counts of this instance until the process ends, through peers
+/// while the store does not accept its appends.
 pub async fn store_counts(shared: Rc<Shared>) {
     let mut is_failing = false;
     loop {
@@ -105,7 +105,7 @@
             continue;
         }
         let all: Vec<_> = own.iter().cloned().chain(peer_counts.clone()).collect();
-        // Whatever is counted while the store fails does not wait for it.
+        // While the store fails, new counts go to peers without waiting for it.
         if is_failing {
             hand_to_peers(&shared, &own);
         }
@@ -129,12 +129,12 @@
     let records = records.iter().map(|(key, value)| (Some(key.clone()), value.clone())).collect();
     let (part, purpose) = (Partition::new(TOPIC, 0), Use::Usage);
     let append = shared.append(Append { part, records, expected_end: None, purpose });
-    // Where it is done after all, the same records come twice.
+    // If the append succeeds after all, the retry repeats the same records.
     let late = |_| StoreError::OutcomeUnknown(String::from("no answer in time"));
     timeout(APPEND_TIMEOUT, append).await.map_err(late)?.map(|_| ())
 }
 
-/// Asks some peers to store records for this instance.
+/// Asks some peers to store records in place of this instance.
 fn hand_to_peers(shared: &Rc<Shared>, records: &[(String, Bytes)]) {
     let record =
         |(key, value): &(String, Bytes)| CountRecord { key: key.clone(), value: value.clone() };
@@ -150,7 +150,7 @@
     }
 }
 
-/// Takes in what a peer could not store.
+/// Receives counts that a peer could not store.
 pub(super) async fn receive(
     shared: &Rc<Shared>,
     request: Request<Incoming>,
