--- a/crates/hollywell/src/entry/hints.rs
+++ b/crates/hollywell/src/entry/hints.rs
@@ -1,8 +1,9 @@
-//! News: hints that all instances should have sooner than by reading
-//! everything that often.
+//! Hints to all instances, which spread changes faster than regular reads of
+//! the partitions concerned.
 //!
-//! Who misses one learns the same a little later, from the records that it is
-//! about. So news is never waited for, kept or sent again.
+//! Delivery is best effort: an instance that misses a hint learns the same a
+//! little later from the records that it is about. Nothing waits for a hint,
+//! stores it or sends it again.
 
 use std::{rc::Rc, time::Duration};
 
@@ -19,34 +20,33 @@
 
 /// The topic.
 const TOPIC: &str = "news";
-/// Least time between reads.
+/// Minimum interval between reads.
 const READ_INTERVAL: Duration = Duration::from_millis(50);
 
-/// A piece of news.
+/// A hint.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Hint {
-    /// An engine has loaded what it was ordered to. It announces that too,
-    /// but up to a heartbeat later, and a step waits for it.
+    /// An engine has loaded the weights that it was ordered to load. It
+    /// announces that too, but up to a heartbeat later, and a step waits for it.
     Loaded(Order),
     /// A log was trimmed.
     Trimmed {
         /// The number of its partition.
         part: usize,
-        /// It is one of texts, not of jobs.
+        /// Whether the log is of texts and not of jobs.
         texts: bool,
-        /// Before which offset.
+        /// The offset before which it was trimmed.
         before: u64,
     },
-    /// A job was accepted in a partition: its longest samples decide how
-    /// long the step takes, and should not wait for the next regular read.
+    /// A job was accepted in a partition. Its longest samples determine how long
+    /// the step takes, and should not wait for the next regular read.
     Accepted {
         /// The partition.
         part: usize,
     },
 }
 
-/// Tells all instances something. Who misses it learns the same from the
-/// records that it is about, a little later.
+/// Publishes a hint to all instances. A failure is only logged.
 pub async fn publish(shared: &Rc<Shared>, hint: &Hint) {
     let value = serde_json::to_vec(hint).unwrap_or_default();
     let records = vec![(None, value.into())];
@@ -57,7 +57,7 @@
     }
 }
 
-/// Follows the news.
+/// Follows the hints of all instances.
 pub async fn serve(shared: Rc<Shared>) {
     let part = Partition::new(TOPIC, 0);
     follow::follow(
--- a/crates/hollywell/src/entry/lease.rs
+++ b/crates/hollywell/src/entry/lease.rs
@@ -1,5 +1,6 @@
-//! A lease on something that one instance does at a time, kept up on a
-//! partition of its own. [`crate::core::tenure`] decides; this makes the calls.
+//! A lease on a role that one instance has at a time, kept by compare-and-append
+//! on a partition of its own. [`crate::core::tenure`] decides; this module makes
+//! the calls.
 
 use std::{
     cell::{Cell, RefCell},
@@ -21,30 +22,31 @@
     },
 };
 
-/// Pause after a claim that failed.
+/// Delay after a failed claim.
 const CLAIM_RETRY: Duration = Duration::from_millis(100);
-/// How long a claim holds, in milliseconds. Short, since whatever depends on a
-/// holder that died waits for so long, and long enough for some lost calls.
+/// Term of a claim, in milliseconds. Short, since the role is vacant for so
+/// long after its holder died, and long enough for some lost calls.
 const TERM_MS: u64 = 1_800;
-/// Time between a holder's claims; the others read them as they come.
+/// Interval between a holder's claims; the other candidates read them as they
+/// arrive.
 const RENEW_INTERVAL: Duration = Duration::from_millis(400);
 
 /// A lease as one instance sees it.
 #[derive(Debug)]
 pub(super) struct Lease {
     part: Partition,
-    /// What it is on, for logs.
+    /// What the lease is on, for logs.
     subject: String,
     terms: Terms,
     state: RefCell<Tenure>,
-    /// There is something to do for its holder.
+    /// The holder has work to do.
     wanted: Cell<bool>,
-    /// Told when a claim must come before the next regular one.
+    /// Notified when a claim must be made before the next regular one.
     urgent: Notify,
 }
 
 impl Lease {
-    /// A lease that nobody is known to hold.
+    /// A lease without a known holder.
     pub(super) fn new(shared: &Shared, part: Partition, subject: &str) -> Rc<Lease> {
         let apart_ms = u64::try_from(shared.settings.times.lease.as_millis()).unwrap_or(u64::MAX);
         Rc::new(Lease {
@@ -57,12 +59,12 @@
         })
     }
 
-    /// Whether this instance holds it, as far as it knows.
+    /// Whether this instance holds the lease, as far as it knows.
     pub(super) fn is_held(&self) -> bool {
         self.state.borrow().is_held()
     }
 
-    /// Says whether there is something to do.
+    /// Sets whether the holder has work to do.
     pub(super) fn set_wanted(&self, wanted: bool) {
         self.wanted.set(wanted);
         if wanted && self.state.borrow().must_announce() {
@@ -70,19 +72,19 @@
         }
     }
 
-    /// The fencing number, if a call that starts now and takes at most `call`
+    /// The fencing token, if a call that starts now and takes at most `call`
     /// ends within the lease.
     pub(super) fn fencing_token(&self, shared: &Shared, call: Duration) -> Option<u64> {
         let margin_ms = u64::try_from(call.as_millis()).unwrap_or_default();
         self.state.borrow().fence(shared.now(), margin_ms)
     }
 
-    /// Notes that a call goes out under the fencing number.
+    /// Records that a call with the fencing token is sent now.
     pub(super) fn record_use(&self, shared: &Shared) {
         self.state.borrow_mut().ordered(shared.now());
     }
 
-    /// Gives the lease up, if it is held.
+    /// Releases the lease, if it is held.
     pub(super) async fn release(&self, shared: &Rc<Shared>) {
         let released = self.state.borrow().release(&shared.instance_id, shared.now());
         if let Some(claim) = released {
@@ -90,8 +92,8 @@
         }
     }
 
-    /// Keeps the lease up, or waits for its holder to fall silent or give it
-    /// up, for as long as the instance is a candidate.
+    /// Renews the lease, or waits until its holder stops renewing or releases
+    /// it, while the instance is a candidate. Returns when the instance stops.
     pub(super) async fn maintain(
         self: Rc<Lease>,
         shared: Rc<Shared>,
@@ -175,8 +177,8 @@
                 self.state.borrow_mut().granted(sent, appended.offset, &claim, self.terms);
             }
             Err(StoreError::EndMismatch(_)) => {
-                // Whose claim came first, or whether it was one of this
-                // instance's whose answer was lost, is read next.
+                // Another claim came first, or one of this instance whose
+                // response was lost; the next read shows which.
                 self.read(shared).await;
             }
             Err(error) => {
@@ -187,8 +189,8 @@
     }
 }
 
-/// This instance's place among the candidates, so that challenges do not all
-/// come at once.
+/// A rank of this instance that spreads the challenges of the candidates in
+/// time.
 fn rank(shared: &Shared) -> u64 {
     xxhash_rust::xxh3::xxh3_64(shared.instance_id.as_bytes()) % 8
 }
--- a/crates/hollywell/src/entry/orders.rs
+++ b/crates/hollywell/src/entry/orders.rs
@@ -1,8 +1,9 @@
-//! Orders to engines: the lease on one failure domain and the calls.
+//! Orders to engines to load weights: the lease on one failure domain, and the
+//! calls.
 //!
-//! Each order is given under a report just read: it names how many orders
-//! the engine has accepted, so that one that is carried out late, after a
-//! newer one, does nothing.
+//! An order is sent right after a report of the engine was read, and names the
+//! number of orders that the engine had accepted by then. An order that arrives
+//! late, after a newer one, therefore has no effect.
 
 use std::{cell::RefCell, collections::BTreeMap, rc::Rc, time::Duration};
 
@@ -27,23 +28,24 @@
 
 /// The topic of leases, one partition for each failure domain.
 const LEASES: &str = "leases";
-/// Instances of a failure domain that compete for its lease. Each reads it all
-/// the time, and the store's rate is everybody's.
+/// Instances of a failure domain that compete for its lease. Each of them reads
+/// it continuously, and all instances share the store's rate of calls.
 const CANDIDATES: usize = 4;
-/// Time between looks at what is to be ordered.
+/// Minimum interval between checks for orders to send.
 const TICK_INTERVAL: Duration = Duration::from_millis(100);
-/// A look takes one part of the time in so many at most: it grows with the
-/// engines, and whoever looks serves callers too.
-const DUTY_CYCLE: u32 = 5;
-/// Time that one call to an engine may take.
+/// A check takes at most one part in so many of the time. Its cost grows with
+/// the number of engines, and the instance serves callers on the same thread.
+const CHECK_SHARE: u32 = 5;
+/// Timeout of a call to an engine.
 const CALL_TIMEOUT: Duration = Duration::from_millis(600);
-/// First look whether a load is done; it takes 0.9 s alone.
+/// Time until the first check whether a load is done; loading takes 0.9 s on an
+/// otherwise idle engine.
 const FIRST_LOAD_CHECK: Duration = Duration::from_millis(920);
-/// Time between later looks.
+/// Interval between later checks.
 const LOAD_CHECK_INTERVAL: Duration = Duration::from_millis(300);
-/// Later looks.
+/// Number of checks.
 const LOAD_CHECKS: u32 = 6;
-/// Largest report.
+/// Maximum size of a report, in bytes.
 const MAX_REPORT_BYTES: usize = 1 << 20;
 
 struct OrderIssuer {
@@ -51,8 +53,7 @@
     roll: RefCell<roll::State>,
 }
 
-/// Competes for the failure domain's lease and gives orders while it is
-/// held.
+/// Competes for the failure domain's lease and sends orders while it is held.
 pub async fn serve(shared: Rc<Shared>) {
     let domain = shared.settings.domain.clone();
     let number = shared.settings.domains.iter().position(|name| *name == domain);
@@ -67,7 +68,7 @@
         if !shared.control.borrow().stopping {
             issue_orders(&shared, &issuer, &domain);
         }
-        interval = TICK_INTERVAL.max(started.elapsed() * DUTY_CYCLE);
+        interval = TICK_INTERVAL.max(started.elapsed() * CHECK_SHARE);
     }
 }
 
@@ -76,7 +77,7 @@
     let control = shared.control.borrow();
     let domain = roster::domain(&shared.instance_id);
     let all = roster::candidates(control.roster.members(), domain, LEASES, CANDIDATES);
-    // Before the members are known, everybody does.
+    // Before the members are known, every instance does.
     all.is_empty() || all.contains(&shared.instance_id.as_str())
 }
 
@@ -89,7 +90,7 @@
         let control = shared.control.borrow();
         issuer.lease.set_wanted(roll::is_due(domain, &control.models, &control.fleet));
     }
-    // Orders may be given only if a call started now ends within the lease.
+    // Orders may be sent only if a call started now ends within the lease.
     if issuer.lease.fencing_token(shared, CALL_TIMEOUT).is_none() {
         return;
     }
@@ -104,7 +105,7 @@
     }
 }
 
-/// The steps that are open, by model.
+/// The open steps by model.
 fn open_steps(control: &Control) -> BTreeMap<String, Vec<Step>> {
     let mut steps: BTreeMap<String, Vec<Step>> = BTreeMap::new();
     let jobs = control.partitions.iter().flat_map(|partition| &partition.index.jobs);
@@ -125,8 +126,8 @@
         return;
     };
     apply_report(&shared, &order, &report);
-    let has = report.versions.get(&order.model).copied();
-    if has >= Some(order.version) {
+    let loaded = report.versions.get(&order.model).copied();
+    if loaded >= Some(order.version) {
         return;
     }
     if !report.busy {
@@ -145,15 +146,15 @@
         let status = call(&shared, &order.target, http::Method::POST, path, body).await;
         let status = status.map(|(status, _)| status.as_u16());
         log::info!(
-            "order to {}: {} from {has:?} to {}, fence {fence}, expects {}: {status:?}",
+            "order to {}: {} from {loaded:?} to {}, fence {fence}, expects {}: {status:?}",
             order.target,
             order.model,
             order.version,
             report.orders
         );
         if !matches!(status, Some(200 | 202)) {
-            // An order without an answer may still be carried out: the next
-            // report tells.
+            // An order without a response may still be carried out; the next
+            // report shows it.
             sleep(LOAD_CHECK_INTERVAL).await;
             issuer.roll.borrow_mut().failed(&order.target);
             return;
--- a/crates/hollywell/src/entry/peers.rs
+++ b/crates/hollywell/src/entry/peers.rs
@@ -1,9 +1,8 @@
-//! What other instances ask of this one.
+//! Requests between instances: the client's calls and the server.
 //!
-//! Peers speak HTTP/1.1 with a protocol buffer as the body, over the
-//! connections that exist anyway. gRPC, which the project uses between `serve`
-//! instances, would bring a second server into a process whose memory is
-//! priced.
+//! Peers use HTTP/1.1 with protocol buffers as bodies, over the connection pool
+//! that exists anyway. gRPC, which is used between `serve` instances, would add
+//! a second server to a process whose memory is priced.
 
 use std::{convert::Infallible, rc::Rc, time::Duration};
 
@@ -27,21 +26,22 @@
     },
 };
 
-/// How long a peer's connection may be idle.
+/// Idle timeout of a peer's connection.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(15);
-/// Time that telling a peer may take. It is told again where it did not
-/// confirm.
+/// Timeout of a message to a peer. An unconfirmed message is sent again
+/// by the modules that need the confirmation.
 const POST_TIMEOUT: Duration = Duration::from_millis(600);
-/// Most bytes of a peer's word, and of the answer to one: some hundred ids.
+/// Maximum size of a peer's message, and of the response to one, in bytes: some
+/// hundred ids.
 const MAX_MESSAGE_BYTES: usize = 1 << 20;
-/// Pause after a connection could not be accepted.
+/// Delay after a failed accept.
 const ACCEPT_RETRY: Duration = Duration::from_millis(50);
 
-/// Tells a member of the group something.
+/// Sends a message to a member of the group.
 ///
 /// # Errors
 ///
-/// Why it may not have taken it.
+/// Why the member may not have received it.
 pub(super) async fn post(
     shared: &Shared,
     member: &str,
@@ -50,18 +50,18 @@
 ) -> Result<(), String> {
     let answer = send(shared, member, Request::post(path), body, POST_TIMEOUT).await?;
     let status = answer.head.status;
-    // Read to its end, so that the connection can be kept.
+    // Read to its end, so that the connection can be reused.
     let read = answer.read_body(MAX_MESSAGE_BYTES, POST_TIMEOUT).await;
     read.map_err(|error| error.to_string())?;
     if status == StatusCode::OK { Ok(()) } else { Err(status.to_string()) }
 }
 
-/// Asks a member of the group for something; `limit` is how long the head of
-/// its answer may take.
+/// Sends a GET request to a member of the group; `limit` is the timeout of the
+/// response's head.
 ///
 /// # Errors
 ///
-/// Why there is no answer.
+/// Why there is no response.
 pub(super) async fn get(
     shared: &Shared,
     member: &str,
@@ -84,7 +84,7 @@
     shared.pool.send(address, request, limit).await.map_err(|error| error.to_string())
 }
 
-/// Some of the other members of the group, so many at most.
+/// Up to `max` other members of the group, chosen at random.
 pub(super) fn random_peers(shared: &Shared, max: usize) -> Vec<String> {
     let control = shared.control.borrow();
     let others = control.roster.members().iter().filter(|member| **member != shared.instance_id);
@@ -138,18 +138,18 @@
     }
 }
 
-/// An answer without a body.
+/// A response without a body.
 pub(super) fn empty_response(status: StatusCode) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::default());
     *response.status_mut() = status;
     response
 }
 
-/// What a peer tells.
+/// Decodes the body of a peer's request.
 ///
 /// # Errors
 ///
-/// What it is to be answered, where that cannot be read.
+/// The status to answer with if the body cannot be read or decoded.
 pub(super) async fn decode_body<T>(request: Request<Incoming>) -> Result<T, StatusCode>
 where
     T: prost::Message + Default,
@@ -157,11 +157,11 @@
     let path = request.uri().path().to_owned();
     let body =
         Limited::new(request.into_body(), MAX_MESSAGE_BYTES).collect().await.map_err(|error| {
-            log::info!("a peer's word on {path} was cut short: {error}");
+            log::info!("a peer's message on {path} was cut short: {error}");
             StatusCode::BAD_REQUEST
         })?;
     T::decode(body.to_bytes()).map_err(|error| {
-        log::warn!("a peer's word on {path} cannot be read: {error}");
+        log::warn!("a peer's message on {path} cannot be decoded: {error}");
         StatusCode::BAD_REQUEST
     })
 }
