--- a/crates/hollywell/src/entry/capacity.rs
+++ b/crates/hollywell/src/entry/capacity.rs
@@ -1,5 +1,5 @@
-//! Keeps the store from being filled: adds up what it holds, trims logs, and
-//! says whether another job may be accepted. What is decided stands in
+//! Keeps the store within its capacity: estimates its usage, trims logs, and
+//! decides whether another job may be accepted, by the rules of
 //! [`crate::core::room`].
 
 use std::{rc::Rc, time::Duration};
@@ -19,36 +19,37 @@
     },
 };
 
-/// Time between looks.
+/// Interval between checks.
 const CHECK_INTERVAL: Duration = Duration::from_secs(1);
-/// Age up to which texts are trimmed while the store is full, in milliseconds:
-/// a text is read by whoever was asked for it right after it was listed.
+/// Minimum age of texts that are trimmed while the store is full, in
+/// milliseconds: a text is mostly read right after its result was listed, by
+/// the instance whose caller requested it.
 const FULL_TEXTS_MS: u64 = 2_000;
-/// How many instances trim a log, on the average, where its owner seems not to.
+/// Average number of instances that trim a log when its owner seems not to.
 const HELPERS: f64 = 2.0;
-/// Bytes of text for each token that a sample is estimated at, before any
-/// was seen. Texts of the users' sites have seven.
+/// Estimated bytes of text per token before any were observed. Texts at the
+/// users' sites have seven.
 const BYTES_PER_TOKEN: f64 = 8.0;
-/// Bytes of a result besides its text, in both topics, with what the store
-/// adds.
+/// Bytes of a result besides its text, in both topics, including the store's
+/// overhead.
 const OUTCOME_BYTES: u64 = 400;
-/// Bytes that a sample takes in its job's head, at most.
+/// Maximum bytes of a sample's entry in its job's manifest.
 const BRIEF_BYTES: u64 = 100;
 
-/// Looks after the store's room until the instance stops.
+/// Manages the store's capacity until the instance stops.
 pub async fn serve(shared: Rc<Shared>) {
-    let mut tight = false;
+    let mut rejecting = false;
     loop {
         sleep(CHECK_INTERVAL).await;
         let _ratio = measure(&shared);
-        log_transition(&shared, &mut tight);
+        log_transition(&shared, &mut rejecting);
         for part in 0..shared.partition_changed.len() {
             trim(&shared, part).await;
         }
     }
 }
 
-/// Bytes of text for each token, as far as they were seen.
+/// Bytes of text per token, as far as they were observed.
 fn bytes_per_token(shared: &Shared) -> f64 {
     let control = shared.control.borrow();
     let jobs = control.partitions.iter().flat_map(|partition| partition.index.jobs.values());
@@ -57,16 +58,17 @@
     if tokens == 0 { BYTES_PER_TOKEN } else { bytes as f64 / tokens as f64 }
 }
 
-/// Adds up what the store holds, and what accepted jobs will add; the bytes of
-/// text for each token that it reckoned with.
+/// Estimates what the store holds and what accepted jobs will add; returns the
+/// bytes of text per token that were assumed.
 fn measure(shared: &Shared) -> f64 {
-    let ratio = bytes_per_token(shared);
+    let bytes_per_token = bytes_per_token(shared);
     let now = shared.now();
-    let life_ms = u64::try_from(shared.settings.store.retention.as_millis()).unwrap_or(u64::MAX);
+    let retention_ms =
+        u64::try_from(shared.settings.store.retention.as_millis()).unwrap_or(u64::MAX);
     let control = &mut *shared.control.borrow_mut();
     let own = control.partitions.iter_mut().flat_map(|partition| &mut partition.logs);
     for log in own.chain(control.other_logs.values_mut()) {
-        log.expire(now, life_ms);
+        log.expire(now, retention_ms);
     }
     let others: u64 = control.other_logs.values().map(|log| log.bytes(0)).sum();
     let jobs = || control.partitions.iter().flat_map(|partition| partition.index.jobs.values());
@@ -81,24 +83,27 @@
         .flat_map(|partition| &partition.logs)
         .map(|log| log.bytes(max_log_bytes));
     let logs = own.sum::<u64>() + others;
-    control.capacity.seen(now, live, logs, (tokens as f64 * ratio) as u64 + outcomes);
+    control.capacity.seen(now, live, logs, (tokens as f64 * bytes_per_token) as u64 + outcomes);
     shared.meters.store_used_bytes.set(i64::try_from(control.capacity.used()).unwrap_or(i64::MAX));
-    ratio
+    bytes_per_token
 }
 
-/// One line each time that jobs begin or cease to be rejected for room.
-fn log_transition(shared: &Shared, tight: &mut bool) {
+/// Logs one line each time that jobs begin or cease to be rejected for lack of
+/// capacity.
+fn log_transition(shared: &Shared, rejecting: &mut bool) {
     let now = shared.now();
     let control = shared.control.borrow();
     let allowed = control.capacity.allows(now, Use::Head, 0);
-    if *tight == allowed {
-        *tight = !allowed;
-        let (used, room) = (control.capacity.used(), control.capacity.room());
+    if *rejecting == allowed {
+        *rejecting = !allowed;
+        let (used, total) = (control.capacity.used(), control.capacity.room());
         let full = control.capacity.is_full(now);
         if allowed {
-            log::info!("store has room again: {used} of {room} bytes known to be used");
+            log::info!("store has free capacity again: {used} of {total} bytes known to be used");
         } else {
-            log::warn!("store is tight: {used} of {room} bytes known to be used, full: {full}");
+            log::warn!(
+                "store is nearly full: {used} of {total} bytes known to be used, append refused: {full}"
+            );
         }
     }
 }
@@ -107,21 +112,21 @@
 ///
 /// # Errors
 ///
-/// When to come back, in milliseconds.
+/// When to retry, in milliseconds.
 pub fn admit(shared: &Shared, submission: &Submission) -> Result<(), u64> {
-    let ratio = measure(shared);
+    let bytes_per_token = measure(shared);
     let mut bytes = 0;
     for sample in &submission.samples {
         let request = prost::Message::encoded_len(sample) as u64;
-        // Twice: in the log, and as the newest of its key.
+        // Counted twice: in the log, and as the newest record of its key.
         bytes += 2 * (request + BRIEF_BYTES) + LOG_OVERHEAD + LIVE_OVERHEAD + OUTCOME_BYTES;
-        bytes += (f64::from(sample.tokens_hint) * ratio) as u64;
+        bytes += (f64::from(sample.tokens_hint) * bytes_per_token) as u64;
     }
     let next_deletion_ms = next_deletion_ms(shared);
     shared.control.borrow().capacity.admit(shared.now(), bytes, next_deletion_ms)
 }
 
-/// In how many milliseconds the records of a job will be dropped next.
+/// Milliseconds until the records of a job will next be deleted.
 fn next_deletion_ms(shared: &Shared) -> Option<u64> {
     let kept_ms = shared.settings.times.status_ms().saturating_add(CLOCKS_APART_MS);
     let now_ms = unix_ms();
@@ -131,10 +136,10 @@
     jobs.filter(|job| job.ended).map(|job| left(job.head.at_ms)).min()
 }
 
-/// Trims the logs of a partition of jobs and of the partition of texts with
-/// the same number, and tells the others: nobody marks as trimmed what was
-/// not. One instance does it as a rule; where that one seems not to, and while
-/// the store is full, any that finds it due.
+/// Trims the logs of a job partition and of the texts partition with the same
+/// number, and publishes a hint, from which the other instances learn that the
+/// log was in fact trimmed. Normally one instance, the owner, does it; if the
+/// owner seems not to, or the store is full, any that finds it due may.
 async fn trim(shared: &Rc<Shared>, part: usize) {
     for (at, topic) in [JOBS, TEXTS].into_iter().enumerate() {
         let Some((before, full)) = due_trim(shared, part, at) else {
@@ -154,26 +159,28 @@
     }
 }
 
-/// Before which offset a log is to be trimmed by this instance now, if at
-/// all, and whether that is since the store is full.
+/// The offset before which this instance must trim a log now, if any, and
+/// whether the store is full.
 fn due_trim(shared: &Shared, part: usize, at: usize) -> Option<(u64, bool)> {
     let now = shared.now();
     let control = shared.control.borrow();
     let members = control.roster.members();
     let max_log_bytes = control.capacity.log_most(2 * control.partitions.len());
     let full = control.capacity.is_full(now);
-    // Jobs have followers, which would have to begin anew; texts are found by
-    // their keys as well.
-    let young_ms = if at == 0 { room::LEAST_MS } else { FULL_TEXTS_MS };
+    // Instances that follow the jobs would have to read a snapshot again if
+    // records were trimmed before they read them. Texts can also be read by
+    // their keys.
+    let min_age_ms = if at == 0 { room::LEAST_MS } else { FULL_TEXTS_MS };
     let log = &control.partitions[part].logs[at];
     let is_owner = owner(members, &format!("trim {part}"), "") == Some(shared.instance_id.as_str());
-    let late = log.bytes(0) > max_log_bytes + max_log_bytes / 2;
-    let is_helper = (full || late) && rand::random_bool((HELPERS / members.len() as f64).min(1.0));
-    let before = log.cut(now, max_log_bytes, full.then_some(young_ms))?;
+    let is_overdue = log.bytes(0) > max_log_bytes + max_log_bytes / 2;
+    let is_helper =
+        (full || is_overdue) && rand::random_bool((HELPERS / members.len() as f64).min(1.0));
+    let before = log.cut(now, max_log_bytes, full.then_some(min_age_ms))?;
     (is_owner || is_helper).then_some((before, full))
 }
 
-/// Notes that a log was trimmed, by whomever.
+/// Records that a log was trimmed, by this or another instance.
 pub fn record_trim(shared: &Shared, part: usize, at: usize, before: u64) {
     let mut control = shared.control.borrow_mut();
     if let Some(partition) = control.partitions.get_mut(part) {
@@ -181,10 +188,10 @@
     }
 }
 
-/// Where a partition of texts ends; `known` if that cannot be read. Nobody
-/// follows it, and texts that nothing names lie beyond the last that is named.
-/// While the store is full nothing is added there, and whoever still wants one
-/// of the texts finds it by its key.
+/// Reads the end of a texts partition; `known` if it cannot be read. The
+/// partition is not followed, and texts without a reference may lie beyond the
+/// last one with a reference. While the store is full no texts are appended,
+/// and those still needed can be read by their keys.
 async fn partition_end(shared: &Rc<Shared>, part: usize, known: u64) -> u64 {
     let read = Read {
         part: Partition::at(TEXTS, part),
--- a/crates/hollywell/src/entry/garbage.rs
+++ b/crates/hollywell/src/entry/garbage.rs
@@ -1,9 +1,10 @@
-//! Drops records that nothing needs any more. Keyed records are kept for good
-//! by the store, and its room is small; what may be dropped is decided in
-//! [`crate::core::batch::Spare`].
+//! Garbage collection: deletes stored records that are no longer needed. The
+//! store keeps the newest record of each key for good, and its capacity is
+//! small. [`crate::core::batch::Spare`] decides what may be deleted.
 //!
-//! Each job's records are dropped by one instance, the one that its id hashes
-//! to. An instance that takes over drops some again, which does no harm.
+//! The records of a job are deleted by one instance, the one that its id hashes
+//! to. An instance that takes over deletes some of them again, which is
+//! harmless.
 
 use std::{cell::RefCell, collections::HashMap, rc::Rc, time::Duration};
 
@@ -23,15 +24,15 @@
     },
 };
 
-/// Time between looks.
+/// Interval between scans.
 const SCAN_INTERVAL: Duration = Duration::from_secs(1);
-/// Records that one call drops.
+/// Maximum number of records deleted by one call.
 const MAX_BATCH: usize = 1_000;
-/// How long an append without an answer may still be done, in milliseconds;
-/// the platform says seconds.
+/// How long an append without a response may still be executed, in
+/// milliseconds; the platform says that it may take seconds.
 const LATE_APPEND_MS: u64 = 30_000;
 
-/// Records that were appended, or may have been, and that nothing names.
+/// Records that were appended, or may have been, without a reference to them.
 #[derive(Debug, Default)]
 pub struct Orphans(RefCell<Vec<Orphan>>);
 
@@ -39,25 +40,25 @@
 struct Orphan {
     part: usize,
     key: String,
-    /// Not to be dropped before.
+    /// Not deleted before this time.
     due: Time,
-    /// What would need it after all.
+    /// What would need the record after all.
     needed_by: NeededBy,
 }
 
 /// What may need a record that was appended.
 #[derive(Clone, Debug)]
 enum NeededBy {
-    /// Nothing.
+    /// Nothing can.
     Nothing,
-    /// A job that names it in its head.
+    /// This job, if its manifest refers to the record.
     Reference(String),
-    /// A job that is there.
+    /// This job, if it exists.
     Job(String),
 }
 
 impl Orphans {
-    /// Adds texts whose append got no answer; they are appended again under
+    /// Adds texts whose append got no response; they are appended again under
     /// other keys.
     pub fn texts(&self, now: Time, part: usize, keys: impl IntoIterator<Item = String>) {
         let due = now.after(LATE_APPEND_MS);
@@ -65,7 +66,7 @@
         self.0.borrow_mut().extend(keys.into_iter().map(orphan));
     }
 
-    /// Adds the requests of a job that was not accepted, as far as is known.
+    /// Adds the requests of a job that, as far as is known, was not accepted.
     pub fn requests(
         &self,
         now: Time,
@@ -79,7 +80,7 @@
         self.0.borrow_mut().extend(keys.into_iter().map(orphan));
     }
 
-    /// Notes that a job was not accepted and never will be.
+    /// Records that a job was not accepted and never will be.
     pub fn refused(&self, now: Time, job: &str) {
         for orphan in self.0.borrow_mut().iter_mut() {
             if matches!(&orphan.needed_by, NeededBy::Reference(other) if other == job) {
@@ -88,7 +89,7 @@
         }
     }
 
-    /// Adds the end of a job that is not known, and may be accepted late.
+    /// Adds the end of an unknown job, which may still be accepted late.
     pub fn end(&self, now: Time, part: usize, job: &str) {
         let (due, needed_by) = (now.after(LATE_APPEND_MS), NeededBy::Job(job.to_owned()));
         let key = batch::end_record(job).0;
@@ -96,36 +97,36 @@
     }
 }
 
-/// What one look found to be dropped in one partition.
+/// Records of one partition to delete after one scan.
 #[derive(Default)]
 struct Deletions {
     keys: Keys,
-    /// What is known of jobs once it is dropped.
+    /// The states of jobs after the deletion.
     after: Vec<(String, Spare)>,
-    over: Vec<String>,
+    jobs: Vec<String>,
     orphans: Vec<String>,
 }
 
-/// Drops this instance's share of what is not needed until it stops.
+/// Deletes this instance's share of the garbage until the instance stops.
 pub async fn serve(shared: Rc<Shared>) {
     let mut garbage: HashMap<String, Spare> = HashMap::new();
     loop {
         sleep(SCAN_INTERVAL).await;
         observe(&shared, &mut garbage);
         for part in 0..shared.partition_changed.len() {
-            let due = find_deletions(&shared, part, &garbage);
-            match delete(&shared, part, &due).await {
-                Ok(()) => record_deleted(&shared, part, due, &mut garbage),
+            let deletions = find_deletions(&shared, part, &garbage);
+            match delete(&shared, part, &deletions).await {
+                Ok(()) => record_deleted(&shared, part, deletions, &mut garbage),
                 Err(error) => {
-                    let count = due.keys.jobs.len() + due.keys.texts.len();
-                    log::info!("{count} records of partition {part} are not dropped yet: {error}");
+                    let count = deletions.keys.jobs.len() + deletions.keys.texts.len();
+                    log::info!("{count} records of partition {part} are not deleted yet: {error}");
                 }
             }
         }
     }
 }
 
-/// Takes over what is to be seen of the jobs.
+/// Updates the state of each job.
 fn observe(shared: &Shared, garbage: &mut HashMap<String, Spare>) {
     let now = shared.now();
     let control = shared.control.borrow();
@@ -138,92 +139,95 @@
     });
 }
 
-/// Records of a partition that nothing needs and that fall to this instance.
+/// Finds the records of a partition that are no longer needed and that this
+/// instance must delete.
 fn find_deletions(shared: &Shared, part: usize, garbage: &HashMap<String, Spare>) -> Deletions {
     let status_ms = shared.settings.times.status_ms();
     let (now, unix_ms, terms) = (shared.now(), unix_ms(), Terms { status_ms });
     let control = shared.control.borrow();
-    let mut due = Deletions::default();
-    let book = &control.partitions[part].index;
-    for (id, job) in &book.jobs {
+    let mut deletions = Deletions::default();
+    let index = &control.partitions[part].index;
+    for (id, job) in &index.jobs {
         let Some(job_garbage) = garbage.get(id) else {
             continue;
         };
-        let mut after_drop = None;
+        let mut after_deletion = None;
         let keys = if job_garbage.is_over(job, now, unix_ms, terms) {
             job.keys(id)
         } else {
             let (keys, after) = job_garbage.next(id, job, now);
-            after_drop = Some(after);
+            after_deletion = Some(after);
             keys
         };
-        // Asked last: it takes a hash for each instance.
+        // Checked last: it computes a hash for each instance.
         if keys.is_empty()
             || owner(control.roster.members(), id, "") != Some(shared.instance_id.as_str())
         {
             continue;
         }
-        match after_drop {
-            Some(after) => due.after.push((id.clone(), after)),
-            None => due.over.push(id.clone()),
+        match after_deletion {
+            Some(after) => deletions.after.push((id.clone(), after)),
+            None => deletions.jobs.push(id.clone()),
         }
-        due.keys.jobs.extend(keys.jobs);
-        due.keys.texts.extend(keys.texts);
-        due.keys.heads.extend(keys.heads);
+        deletions.keys.jobs.extend(keys.jobs);
+        deletions.keys.texts.extend(keys.texts);
+        deletions.keys.heads.extend(keys.heads);
     }
-    // What was read before it is due says nothing.
+    // A reference may have been appended until the record is due, so only a
+    // later read of the partition counts.
     let read_at = control.partitions[part].read_at;
     let orphans = shared.orphans.0.borrow();
     for orphan in orphans.iter().filter(|orphan| orphan.part == part && read_at >= Some(orphan.due))
     {
-        due.orphans.push(orphan.key.clone());
+        deletions.orphans.push(orphan.key.clone());
         let key = orphan.key.clone();
         match &orphan.needed_by {
-            NeededBy::Reference(job) if is_referenced(book, job, &key) => {}
-            NeededBy::Job(job) if book.jobs.contains_key(job) => {}
-            NeededBy::Job(_) => due.keys.jobs.push(key),
-            NeededBy::Nothing | NeededBy::Reference(_) => due.keys.texts.push(key),
+            NeededBy::Reference(job) if is_referenced(index, job, &key) => {}
+            NeededBy::Job(job) if index.jobs.contains_key(job) => {}
+            NeededBy::Job(_) => deletions.keys.jobs.push(key),
+            NeededBy::Nothing | NeededBy::Reference(_) => deletions.keys.texts.push(key),
         }
     }
-    due
+    deletions
 }
 
-fn is_referenced(book: &Book, job: &str, key: &str) -> bool {
-    let job = book.jobs.get(job);
+fn is_referenced(index: &Book, job: &str, key: &str) -> bool {
+    let job = index.jobs.get(job);
     job.is_some_and(|job| job.head.bundles.iter().any(|bundle| bundle.key == key))
 }
 
 fn record_deleted(
     shared: &Shared,
     part: usize,
-    due: Deletions,
+    deletions: Deletions,
     garbage: &mut HashMap<String, Spare>,
 ) {
-    garbage.extend(due.after);
+    garbage.extend(deletions.after);
     let mut orphans = shared.orphans.0.borrow_mut();
-    orphans.retain(|orphan| orphan.part != part || !due.orphans.contains(&orphan.key));
-    for id in due.over {
-        log::info!("job {id} dropped");
+    orphans.retain(|orphan| orphan.part != part || !deletions.orphans.contains(&orphan.key));
+    for id in deletions.jobs {
+        log::info!("job {id} deleted");
     }
 }
 
-/// Drops texts first: what names them is there until they are gone.
-async fn delete(shared: &Rc<Shared>, part: usize, due: &Deletions) -> Result<(), StoreError> {
-    delete_keys(shared, &Partition::at(TEXTS, part), &due.keys.texts).await?;
-    for job in &due.over {
+/// Deletes texts first, so that the records that refer to them remain until the
+/// texts are gone.
+async fn delete(shared: &Rc<Shared>, part: usize, deletions: &Deletions) -> Result<(), StoreError> {
+    delete_keys(shared, &Partition::at(TEXTS, part), &deletions.keys.texts).await?;
+    for job in &deletions.jobs {
         delete_unreferenced_texts(shared, &Partition::at(TEXTS, part), job).await?;
     }
     let jobs = Partition::at(JOBS, part);
-    delete_keys(shared, &jobs, &due.keys.jobs).await?;
-    for some in due.keys.heads.chunks(MAX_BATCH / 2) {
-        delete_keys(shared, &jobs, some.as_flattened()).await?;
+    delete_keys(shared, &jobs, &deletions.keys.jobs).await?;
+    for pairs in deletions.keys.heads.chunks(MAX_BATCH / 2) {
+        delete_keys(shared, &jobs, pairs.as_flattened()).await?;
     }
     Ok(())
 }
 
-/// Drops texts of a job that nothing names: an instance may have ended
-/// between a text's append and that of its result. What is known was dropped
-/// before, so that mostly nothing is left.
+/// Deletes a job's texts without a reference: an instance may have ended
+/// between the append of a text and that of its result. The known texts were
+/// deleted before, so mostly none are left.
 async fn delete_unreferenced_texts(
     shared: &Rc<Shared>,
     part: &Partition,
@@ -236,7 +240,7 @@
         let all = page.records.len();
         let keys = page.records.into_iter().map(|record| record.key);
         let own: Vec<String> = keys.filter(|key| key.starts_with(&first)).collect();
-        // What sorts behind the job's keys belongs to others.
+        // Keys that sort after the job's belong to others.
         after = page.after.filter(|_| own.len() == all);
         delete_keys(shared, part, &own).await?;
     }
@@ -248,8 +252,8 @@
     part: &Partition,
     keys: &[String],
 ) -> Result<(), StoreError> {
-    for some in keys.chunks(MAX_BATCH) {
-        let records = some.iter().map(|key| (Some(key.clone()), Bytes::new())).collect();
+    for chunk in keys.chunks(MAX_BATCH) {
+        let records = chunk.iter().map(|key| (Some(key.clone()), Bytes::new())).collect();
         let (part, purpose) = (part.clone(), Use::Drop);
         shared.append(Append { part, records, expected_end: None, purpose }).await?;
     }
