--- a/crates/hollywell/src/core/reducer/calls.rs
+++ b/crates/hollywell/src/core/reducer/calls.rs
@@ -1,10 +1,10 @@
-//! Calls to plain services: entry, dispatch without a key, and retries.
+//! Calls to plain services: admission, dispatch without a key, and retries.
 //!
-//! Without a key every request is its own: the instance that it reached
-//! knows all there is to know, and may say "not run". Keyed calls go to
-//! [`super::keyed`].
+//! Requests without a key are independent of each other: the instance that
+//! received one knows whether it ran, and may report "not run". Keyed calls
+//! are handled in [`super::keyed`].
 
-use super::{Flight, Path, Pending, Purpose, State};
+use super::{Attempt, Path, Pending, Purpose, State};
 use crate::{
     core::{
         effect::{Counted, Effect, Reply},
@@ -20,17 +20,18 @@
 impl State {
     pub(super) fn on_call(&mut self, request: Request, arrived: Time, call: &Call) {
         if let Some(kind) = self.refusal_at_entry(call) {
-            let known = if call.key.is_some() { Kind::Unverified } else { kind };
-            self.refuse(request, known);
+            let reported = if call.key.is_some() { Kind::Unverified } else { kind };
+            self.refuse(request, reported);
             return;
         }
-        // Not from `arrived`, which is earlier after a pause: a caller that
-        // has just come must not be turned away for it.
+        // The deadline does not count from `arrived`: after a pause of the
+        // process that is the start of the pause, and a caller that has just
+        // connected must not be refused because of it.
         let deadline = self.now.after(call.timeout_ms);
         let path = Path::Plain { tried: vec![] };
         self.pending.insert(request, Pending { call: call.clone(), deadline, path });
         match &call.key {
-            Some(key) => self.enter_keyed(request, arrived, key),
+            Some(key) => self.accept_keyed(request, arrived, key),
             None => self.dispatch_plain(request, Kind::NoTarget),
         }
     }
@@ -42,12 +43,12 @@
         if self.pending.len() >= self.config.calls {
             return Some(Kind::Overloaded);
         }
-        let known = self.members.has_pool(&call.pool);
-        (!known).then_some(Kind::UnknownPool)
+        let exists = self.members.has_pool(&call.pool);
+        (!exists).then_some(Kind::UnknownPool)
     }
 
-    /// Sends an unkeyed call to a target that it was not sent to yet, or
-    /// refuses it as `otherwise`.
+    /// Dispatches a call without a key to a target that it was not sent to
+    /// yet, or refuses it as `otherwise` if there is none.
     fn dispatch_plain(&mut self, request: Request, otherwise: Kind) {
         let Some(pending) = self.pending.get(&request) else {
             return;
@@ -73,7 +74,7 @@
         self.dispatch(&target, request, Purpose::Call(request), deadline, deadline);
     }
 
-    /// Sends a request's bytes to a target.
+    /// Dispatches a request to a target.
     pub(super) fn dispatch(
         &mut self,
         target: &str,
@@ -88,8 +89,8 @@
             known.in_flight += 1;
             address.clone_from(&known.listed.address);
         }
-        let flight = Flight { target: target.to_owned(), purpose };
-        self.flights.insert(dispatch, flight);
+        let attempt = Attempt { target: target.to_owned(), purpose };
+        self.attempts.insert(dispatch, attempt);
         self.emit(Effect::Dispatch { request, dispatch, address, before, deadline });
         dispatch
     }
@@ -107,23 +108,24 @@
             .filter(usable)
             .map(|target| Candidate {
                 name: &target.listed.name,
-                load: load_of(target),
+                load: relative_load(target),
                 is_local: target.listed.domain == self.config.domain,
             })
             .collect();
-        self.turn += 1;
-        let chosen = self.config.policy.choose(&candidates, self.turn, &mut self.rng);
+        self.choices += 1;
+        let chosen = self.config.policy.choose(&candidates, self.choices, &mut self.rng);
         chosen.map(str::to_owned)
     }
 
-    /// Notes the end of an attempt and hands it to whoever it was for.
+    /// Records the end of an attempt and passes it to the code that started
+    /// the attempt.
     pub(super) fn on_target_ended(&mut self, dispatch: Dispatch, end: End, leaving: bool) {
-        let Some(flight) = self.flights.remove(&dispatch) else {
+        let Some(attempt) = self.attempts.remove(&dispatch) else {
             self.emit(Effect::Forget { dispatch });
             return;
         };
-        self.note_target(&flight, end, leaving);
-        match flight.purpose {
+        self.record_target_result(&attempt, end, leaving);
+        match attempt.purpose {
             Purpose::Call(request) => self.end_plain(request, dispatch, end),
             Purpose::Key { key, request, tried } => {
                 self.end_keyed(&key, request, tried, dispatch, end);
@@ -132,11 +134,11 @@
         }
     }
 
-    fn note_target(&mut self, flight: &Flight, end: End, leaving: bool) {
+    fn record_target_result(&mut self, attempt: &Attempt, end: End, leaving: bool) {
         if leaving {
-            self.members.mark_leaving(&flight.target);
+            self.members.mark_leaving(&attempt.target);
         }
-        let Some(target) = self.members.targets.get_mut(&flight.target) else {
+        let Some(target) = self.members.targets.get_mut(&attempt.target) else {
             return;
         };
         target.in_flight = target.in_flight.saturating_sub(1);
@@ -162,29 +164,29 @@
             self.emit(Effect::Forget { dispatch });
             return;
         }
-        let given_up = match certainly_not_run {
+        let refusal = match certainly_not_run {
             true => Kind::TargetRefused,
             false => Kind::OutcomeUnknown,
         };
         let may_retry = certainly_not_run || idempotent;
         if may_retry && self.budget.spend() {
             self.count(Counted::Retry);
-            self.dispatch_plain(request, given_up);
+            self.dispatch_plain(request, refusal);
         } else {
-            self.refuse(request, given_up);
+            self.refuse(request, refusal);
         }
     }
 
-    /// Notes that a caller has gone. A call goes on to its end, which drops
-    /// its bytes; a step is of no use to anyone else.
-    pub(super) fn on_caller_gone(&mut self, request: Request) {
+    /// Handles a caller's disconnect. A call runs to its end, when its bytes
+    /// are dropped; a step is abandoned, since it serves only its caller.
+    pub(super) fn on_caller_disconnected(&mut self, request: Request) {
         self.abandon_step(request);
     }
 }
 
-/// A target's load relative to its slots, with this instance's requests in
-/// flight on top of the lagging report.
-pub(super) fn load_of(target: &Target) -> f64 {
+/// A target's load relative to its slots. This instance's requests in attempt
+/// are added to the reported load, because the report lags.
+pub(super) fn relative_load(target: &Target) -> f64 {
     let own = f64::from(target.in_flight + target.samples);
     match &target.load {
         Some(load) => {
--- a/crates/hollywell/src/core/reducer/samples.rs
+++ b/crates/hollywell/src/core/reducer/samples.rs
@@ -1,8 +1,9 @@
-//! Steps and samples: starting them on engines, judging and delivering them.
+//! Steps and samples: starting samples on engines, judging the results and
+//! delivering them.
 
 use std::collections::BTreeSet;
 
-use super::{Flight, Purpose, State, calls::load_of};
+use super::{Attempt, Purpose, State, calls::relative_load};
 use crate::{
     core::{
         effect::{Counted, Effect},
@@ -18,17 +19,17 @@
 
 impl State {
     pub(super) fn on_load(&mut self, target: &str, load: Option<&member::Load>) {
-        let Some(known) = self.members.targets.get_mut(target) else {
+        let Some(engine) = self.members.targets.get_mut(target) else {
             return;
         };
         let Some(load) = load else {
-            known.load = None;
+            engine.load = None;
             return;
         };
-        known.breaker.succeed();
-        known.load = Some(load.clone());
+        engine.breaker.succeed();
+        engine.load = Some(load.clone());
         if load.leaving {
-            known.leaving = true;
+            engine.leaving = true;
         }
         self.forget_order(target);
     }
@@ -39,7 +40,7 @@
             self.emit(Effect::EndStep { request, missing, reason: Some(kind) });
             return;
         }
-        self.steps.note_version(&opening.trainer, opening.version);
+        self.steps.record_version(&opening.trainer, opening.version);
         self.steps.open.insert(request, Step::new(opening.clone(), self.now));
         self.end_if_done(request);
     }
@@ -54,9 +55,9 @@
         (self.steps.open.len() >= self.config.steps).then_some(Kind::Overloaded)
     }
 
-    /// Starts samples as long as there is a slot to run and an engine with
-    /// room for it.
-    pub(super) fn pump_samples(&mut self) {
+    /// Starts samples as long as one is waiting and an engine has capacity for
+    /// it.
+    pub(super) fn start_samples(&mut self) {
         if self.draining.is_some() {
             return;
         }
@@ -69,19 +70,19 @@
         }
     }
 
-    /// Runs stragglers of steps near their end a second time.
+    /// Starts hedged attempts for stragglers of steps that are near their end.
     pub(super) fn hedge_samples(&mut self) {
         let budget_percent = self.config.policy.hedge_percent;
         if self.draining.is_some() || budget_percent == 0 {
             return;
         }
         let steps = self.steps.open.iter();
-        let late: Vec<(Request, Slot)> = steps
+        let stragglers: Vec<(Request, Slot)> = steps
             .filter_map(|(request, step)| {
                 step.straggler(self.now, budget_percent).map(|slot| (*request, slot))
             })
             .collect();
-        for (request, slot) in late {
+        for (request, slot) in stragglers {
             if self.start_sample(request, slot) {
                 self.count(Counted::Hedge);
             }
@@ -107,8 +108,8 @@
         if self.steps.running(&trainer) >= row.in_flight {
             return false;
         }
-        let near = step.engine_of(slot.group).map(str::to_owned);
-        let Some(target) = self.choose_engine(&row, &tried, near.as_deref()) else {
+        let cached = step.engine_of(slot.group).map(str::to_owned);
+        let Some(target) = self.choose_engine(&row, &tried, cached.as_deref()) else {
             return false;
         };
         let dispatch = self.new_dispatch();
@@ -119,16 +120,16 @@
         let address = engine.listed.address.clone();
         if let Some(step) = self.steps.open.get_mut(&request) {
             step.start(slot, dispatch, self.now);
-            step.placed(slot.group, &target);
+            step.record_engine(slot.group, &target);
         }
         let purpose = Purpose::Sample { request, slot };
-        self.flights.insert(dispatch, Flight { target, purpose });
+        self.attempts.insert(dispatch, Attempt { target, purpose });
         let priority = row.priority;
         self.emit(Effect::Generate { request, dispatch, slot, address, priority, deadline });
         true
     }
 
-    /// Weights of the trainers that have a step open here.
+    /// Sum of the weights of the trainers that have a step open here.
     pub(super) fn demand(&self) -> u32 {
         let table = &self.fold.state().table;
         let open = self.steps.open.values().map(|step| step.opening().trainer.as_str());
@@ -136,9 +137,9 @@
         trainers.iter().filter_map(|trainer| table.row(trainer)).map(|row| row.weight).sum()
     }
 
-    /// This instance's share of the engines' slots: its trainers' weights
-    /// among those of all instances that have a step open. Instances without
-    /// one take no part, so that nothing is left idle for them.
+    /// This instance's share of the engines' slots: the weights of its
+    /// trainers relative to those at all instances. Instances without an open
+    /// step have no share, so that no slots are left idle for them.
     fn share(&self) -> f64 {
         let own = f64::from(self.demand().max(1));
         let live = self.members.peers.values().filter(|peer| self.is_live(peer));
@@ -147,50 +148,50 @@
     }
 
     fn engines_of(&self, dispatches: &[Dispatch]) -> Vec<String> {
-        let flights = dispatches.iter().filter_map(|dispatch| self.flights.get(dispatch));
-        flights.map(|flight| flight.target.clone()).collect()
+        let attempts = dispatches.iter().filter_map(|dispatch| self.attempts.get(dispatch));
+        attempts.map(|attempt| attempt.target.clone()).collect()
     }
 
-    /// An engine with room that serves an acceptable version, other than
-    /// those that were `tried`; `near` if it is hardly more loaded than the
-    /// others, because it has the prompt in its cache.
+    /// Chooses an engine with capacity that serves an acceptable version and
+    /// is not among those `tried`. It is the `cached` one, which has the prompt
+    /// in its cache, unless that is much more loaded than the others.
     fn choose_engine(
         &mut self,
         row: &table::Row,
         tried: &[String],
-        near: Option<&str>,
+        cached: Option<&str>,
     ) -> Option<String> {
         let policy = self.config.policy;
-        let ask = Ask {
+        let requirements = Requirements {
             trainer: &row.trainer,
             oldest: self.steps.oldest(row),
             tried,
             now: self.now,
-            room: Room { reserve_percent: self.config.reserve_percent, share: self.share() },
+            quota: SlotQuota { reserve_percent: self.config.reserve_percent, share: self.share() },
             fixed: policy.fixed_samples,
         };
-        let candidates = ask.engines(&self.members);
-        let near = near.filter(|_| policy.affinity);
-        if let Some(near) = near.and_then(|near| route::within_bound(&candidates, near)) {
-            return Some(near.to_owned());
+        let candidates = requirements.engines(&self.members);
+        let cached = cached.filter(|_| policy.affinity);
+        if let Some(name) = cached.and_then(|name| route::within_bound(&candidates, name)) {
+            return Some(name.to_owned());
         }
-        self.turn += 1;
-        policy.choose(&candidates, self.turn, &mut self.rng).map(str::to_owned)
+        self.choices += 1;
+        policy.choose(&candidates, self.choices, &mut self.rng).map(str::to_owned)
     }
 
     pub(super) fn on_sample_ended(&mut self, dispatch: Dispatch, end: &End) {
-        let Some(flight) = self.flights.remove(&dispatch) else {
+        let Some(attempt) = self.attempts.remove(&dispatch) else {
             self.emit(Effect::Forget { dispatch });
             return;
         };
-        if let Some(engine) = self.members.targets.get_mut(&flight.target) {
+        if let Some(engine) = self.members.targets.get_mut(&attempt.target) {
             engine.samples = engine.samples.saturating_sub(1);
             match end {
                 End::Whole(_) => engine.breaker.succeed(),
                 End::Broken | End::Refused => engine.breaker.fail(self.now),
             }
         }
-        let Purpose::Sample { request, slot } = flight.purpose else {
+        let Purpose::Sample { request, slot } = attempt.purpose else {
             return;
         };
         self.judge_sample(request, slot, dispatch, end);
@@ -202,13 +203,13 @@
         let table = &self.fold.state().table;
         let row = trainer.as_deref().and_then(|trainer| table.row(trainer));
         let Some(row) = row.cloned() else {
-            // The row was removed; the next tick ends the step.
+            // The row was removed from the table; the next tick ends the step.
             self.emit(Effect::Forget { dispatch });
             return;
         };
         if let End::Whole(versions) = end {
             for version in versions {
-                self.steps.note_version(&row.trainer, *version);
+                self.steps.record_version(&row.trainer, *version);
             }
         }
         let oldest = self.steps.oldest(&row);
@@ -223,7 +224,7 @@
                 for other in others {
                     self.cancel_sample(other);
                     if let Some(step) = self.steps.open.get_mut(&request) {
-                        step.cancelled();
+                        step.record_cancel();
                     }
                 }
                 Counted::SampleDelivered
@@ -249,10 +250,10 @@
             return;
         };
         let missing = step.missing();
-        let moves = self.draining.is_some() && step.running() == 0;
+        let is_drained = self.draining.is_some() && step.running() == 0;
         if missing == 0 {
             self.end_step(request, None);
-        } else if moves {
+        } else if is_drained {
             self.end_step(request, Some(Kind::Draining));
         }
     }
@@ -266,7 +267,7 @@
         self.cancel_samples(request);
     }
 
-    /// Drops a step whose trainer has gone.
+    /// Drops a step whose trainer has disconnected.
     pub(super) fn abandon_step(&mut self, request: Request) {
         if self.steps.open.remove(&request).is_some() {
             self.cancel_samples(request);
@@ -274,11 +275,11 @@
     }
 
     fn cancel_samples(&mut self, request: Request) {
-        let of_step = |flight: &Flight| matches!(flight.purpose, Purpose::Sample { request: owner, .. } if owner == request);
+        let of_step = |attempt: &Attempt| matches!(attempt.purpose, Purpose::Sample { request: owner, .. } if owner == request);
         let running: Vec<Dispatch> = self
-            .flights
+            .attempts
             .iter()
-            .filter(|(_, flight)| of_step(flight))
+            .filter(|(_, attempt)| of_step(attempt))
             .map(|(dispatch, _)| *dispatch)
             .collect();
         for dispatch in running {
@@ -286,20 +287,21 @@
         }
     }
 
-    /// Stops an attempt that nobody wants any longer. It is forgotten at
-    /// once: how it ends says nothing about its engine.
+    /// Cancels an attempt whose result is no longer needed. It is forgotten at
+    /// once, because its end says nothing about the health of its engine.
     fn cancel_sample(&mut self, dispatch: Dispatch) {
-        let Some(flight) = self.flights.remove(&dispatch) else {
+        let Some(attempt) = self.attempts.remove(&dispatch) else {
             return;
         };
-        if let Some(engine) = self.members.targets.get_mut(&flight.target) {
+        if let Some(engine) = self.members.targets.get_mut(&attempt.target) {
             engine.samples = engine.samples.saturating_sub(1);
         }
         self.emit(Effect::Cancel { dispatch });
         self.emit(Effect::Forget { dispatch });
     }
 
-    /// Why a step ends now although samples are missing, if it does.
+    /// Returns why a step must end now although samples are missing, or `None`
+    /// if it goes on.
     fn end_of(&self, step: &Step) -> Option<Kind> {
         let row = self.fold.state().table.row(&step.opening().trainer);
         if self.now >= step.deadline() {
@@ -311,8 +313,8 @@
         }
     }
 
-    /// Ends steps whose trainer has stopped waiting or has no row any longer,
-    /// and those that a stopping instance hands over.
+    /// Ends steps whose deadline has passed or whose trainer's row was removed
+    /// and, if this instance is stopping, steps without running samples.
     pub(super) fn end_late_steps(&mut self) {
         let steps = self.steps.open.iter();
         let ended: Vec<(Request, Kind)> =
@@ -329,74 +331,79 @@
     }
 }
 
-/// What an engine must have to be given a sample.
-struct Ask<'a> {
+/// What an engine must satisfy to be given a sample.
+struct Requirements<'a> {
     trainer: &'a str,
     oldest: u64,
     tried: &'a [String],
     now: Time,
-    room: Room,
+    quota: SlotQuota,
     fixed: Option<u32>,
 }
 
-impl Ask<'_> {
-    /// The engines that may be given the sample; none if this instance has
-    /// its share of all of them in flight.
+impl Requirements<'_> {
+    /// Returns the engines that may be given the sample; none if this instance
+    /// has already used up its share of all slots.
     fn engines<'m>(&self, members: &'m Members) -> Vec<Candidate<'m>> {
         let targets = || members.targets.values();
         let slots: u32 = targets().filter_map(|target| Some(target.load.as_ref()?.slots)).sum();
         let samples: u32 = targets().map(|target| target.samples).sum();
-        if self.fixed.is_none() && samples >= self.room.in_all(slots) {
+        if self.fixed.is_none() && samples >= self.quota.total(slots) {
             return vec![];
         }
         let candidate = |target: &'m Target| Candidate {
             name: &target.listed.name,
-            load: load_of(target),
-            // Every engine may serve rollouts of every domain: keeping to
-            // the nearest would leave the others' share idle.
+            load: relative_load(target),
+            // Any engine may serve rollouts of any failure domain: preferring
+            // local engines would leave this instance's share of the others
+            // idle.
             is_local: true,
         };
-        targets().filter(|target| self.suits(target)).map(candidate).collect()
+        targets().filter(|target| self.is_eligible(target)).map(candidate).collect()
     }
 
-    fn suits(&self, target: &Target) -> bool {
+    fn is_eligible(&self, target: &Target) -> bool {
         let Some(load) = &target.load else {
             return false;
         };
         let serves = load.versions.get(self.trainer).is_some_and(|v| *v >= self.oldest);
         let is_new = !self.tried.contains(&target.listed.name);
-        serves && is_new && self.has_room(target, load) && target.is_usable(self.now)
+        serves && is_new && self.has_capacity(target, load) && target.is_usable(self.now)
     }
 
-    fn has_room(&self, target: &Target, load: &member::Load) -> bool {
+    fn has_capacity(&self, target: &Target, load: &member::Load) -> bool {
         let is_full = load.running + load.waiting >= load.slots;
         match self.fixed {
             Some(fixed) => target.samples < fixed,
-            None => target.samples < self.room.at(load.slots) && !(is_full && target.samples > 0),
+            None => {
+                target.samples < self.quota.per_engine(load.slots)
+                    && !(is_full && target.samples > 0)
+            }
         }
     }
 }
 
-/// How much of the engines one instance may use for samples.
-struct Room {
+/// The share of the engines' slots that one instance may use for samples.
+struct SlotQuota {
     reserve_percent: u32,
     share: f64,
 }
 
-impl Room {
-    fn open(&self, slots: u32) -> f64 {
+impl SlotQuota {
+    fn usable(&self, slots: u32) -> f64 {
         f64::from(slots * (100 - self.reserve_percent.min(100))) / 100.0
     }
 
-    /// Samples in flight at one engine of `slots` slots. Rounded up: what is
-    /// too much there is too little elsewhere, and the sum is bounded.
-    fn at(&self, slots: u32) -> u32 {
-        (self.open(slots) * self.share).ceil() as u32
+    /// Maximum number of samples in attempt at one engine with `slots` slots.
+    /// It is rounded up: an excess at one engine is compensated at others,
+    /// because the total is bounded.
+    fn per_engine(&self, slots: u32) -> u32 {
+        (self.usable(slots) * self.share).ceil() as u32
     }
 
-    /// Samples in flight at all engines of `slots` slots together; at least
-    /// one, so that every step goes on.
-    fn in_all(&self, slots: u32) -> u32 {
-        ((self.open(slots) * self.share) as u32).max(1)
+    /// Maximum number of samples in attempt at all engines, with `slots` slots
+    /// together. It is at least one, so that every step makes progress.
+    fn total(&self, slots: u32) -> u32 {
+        ((self.usable(slots) * self.share) as u32).max(1)
     }
 }
--- a/crates/hollywell/src/entry/caller.rs
+++ b/crates/hollywell/src/entry/caller.rs
@@ -14,8 +14,8 @@
 
 use crate::{
     core::{
-        organisation::{Directory, Organisation, Stranger},
-        plan::{Plan, Route},
+        configuration::{Configuration, Route},
+        organisation::{AuthError, Directory, Organisation},
     },
     entry::{configuration, shared::Shared},
     error::Kind,
@@ -66,17 +66,19 @@
     headers: &HeaderMap,
 ) -> Result<&'a Organisation, Kind> {
     let values = headers.get_all(header::AUTHORIZATION);
-    directory.caller(values.iter().map(http::HeaderValue::as_bytes)).map_err(|why: Stranger| {
-        shared.meters.unauthenticated.with_label_values(&[why.as_str()]).inc();
-        log::info!("a caller is not known: {}", why.as_str());
-        Kind::UnknownCaller
-    })
+    directory.authenticate(values.iter().map(http::HeaderValue::as_bytes)).map_err(
+        |why: AuthError| {
+            shared.meters.unauthenticated.with_label_values(&[why.as_str()]).inc();
+            log::info!("a caller is not known: {}", why.as_str());
+            Kind::UnknownCaller
+        },
+    )
 }
 
 /// The route of a request, and who may use it.
 fn for_route(
     shared: &Shared,
-    plan: &Plan,
+    plan: &Configuration,
     host: &str,
     path: &str,
     headers: &HeaderMap,
@@ -96,7 +98,12 @@
 }
 
 /// Who asks about a job of a host.
-fn for_job(shared: &Shared, plan: &Plan, host: &str, headers: &HeaderMap) -> Result<Caller, Kind> {
+fn for_job(
+    shared: &Shared,
+    plan: &Configuration,
+    host: &str,
+    headers: &HeaderMap,
+) -> Result<Caller, Kind> {
     let Some(directory) = &plan.organisations else {
         return Ok(Caller::Unrestricted);
     };
@@ -111,7 +118,7 @@
 ///
 /// # Errors
 ///
-/// Why it is refused: [`Kind::StoreAway`] where that cannot be known.
+/// Why it is refused: [`Kind::StoreUnavailable`] where that cannot be known.
 pub async fn identify_for_route(
     shared: &Rc<Shared>,
     host: &str,
@@ -133,12 +140,12 @@
 
 async fn with_current_configuration<T>(
     shared: &Rc<Shared>,
-    judge: impl Fn(&Plan) -> Result<T, Kind>,
+    judge: impl Fn(&Configuration) -> Result<T, Kind>,
 ) -> Result<T, Kind> {
     let until = Instant::now() + CONFIGURATION_WAIT;
     loop {
         let told = shared.configuration_read.notified();
-        let plan = shared.control.borrow().configuration.clone().ok_or(Kind::StoreAway)?;
+        let plan = shared.control.borrow().configuration.clone().ok_or(Kind::StoreUnavailable)?;
         let current = is_current(shared);
         match judge(&plan) {
             Ok(judged) if !is_too_old(shared, &plan) => return Ok(judged),
@@ -146,7 +153,7 @@
             Ok(_) | Err(_) => {}
         }
         if timeout_at(until, told).await.is_err() {
-            return Err(Kind::StoreAway);
+            return Err(Kind::StoreUnavailable);
         }
     }
 }
@@ -159,7 +166,7 @@
 }
 
 /// Whether it is so old that a key must not be taken for good any more.
-fn is_too_old(shared: &Shared, plan: &Plan) -> bool {
+fn is_too_old(shared: &Shared, plan: &Configuration) -> bool {
     let Some(revoke) = shared.settings.times.revoke else {
         return false;
     };
--- a/crates/hollywell/src/entry/capacity.rs
+++ b/crates/hollywell/src/entry/capacity.rs
@@ -1,6 +1,6 @@
 //! Keeps the store within its capacity: estimates its usage, trims logs, and
 //! decides whether another job may be accepted, by the rules of
-//! [`crate::core::room`].
+//! [`crate::core::capacity`].
 
 use std::{rc::Rc, time::Duration};
 
@@ -8,9 +8,9 @@
 
 use crate::{
     core::{
-        batch::{CLOCKS_APART_MS, Job, Submission},
+        batch::{Job, MAX_CLOCK_SKEW_MS, Submission},
+        capacity::{self, LIVE_OVERHEAD, LOG_OVERHEAD, Purpose},
         dispatch::owner,
-        room::{self, LIVE_OVERHEAD, LOG_OVERHEAD, Use},
     },
     entry::{
         hints::{self, Hint},
@@ -54,7 +54,7 @@
     let control = shared.control.borrow();
     let jobs = control.partitions.iter().flat_map(|partition| partition.index.jobs.values());
     let (tokens, bytes) =
-        jobs.map(Job::sizes).fold((0, 0), |sum, sizes| (sum.0 + sizes.0, sum.1 + sizes.1));
+        jobs.map(Job::finished_sizes).fold((0, 0), |sum, sizes| (sum.0 + sizes.0, sum.1 + sizes.1));
     if tokens == 0 { BYTES_PER_TOKEN } else { bytes as f64 / tokens as f64 }
 }
 
@@ -73,17 +73,17 @@
     let others: u64 = control.other_logs.values().map(|log| log.bytes(0)).sum();
     let jobs = || control.partitions.iter().flat_map(|partition| partition.index.jobs.values());
     let live = jobs().map(Job::bytes).sum();
-    let tokens: u64 = jobs().map(Job::tokens_to_come).sum();
-    let samples = jobs().filter(|job| !job.ended).map(|job| job.done.len() - job.listed.len());
+    let tokens: u64 = jobs().map(Job::remaining_tokens).sum();
+    let samples = jobs().filter(|job| !job.ended).map(|job| job.done.len() - job.results.len());
     let outcomes = samples.sum::<usize>() as u64 * OUTCOME_BYTES;
-    let max_log_bytes = control.capacity.log_most(2 * control.partitions.len());
+    let max_log_bytes = control.capacity.max_log_bytes(2 * control.partitions.len());
     let own = control
         .partitions
         .iter()
         .flat_map(|partition| &partition.logs)
         .map(|log| log.bytes(max_log_bytes));
     let logs = own.sum::<u64>() + others;
-    control.capacity.seen(now, live, logs, (tokens as f64 * bytes_per_token) as u64 + outcomes);
+    control.capacity.update(now, live, logs, (tokens as f64 * bytes_per_token) as u64 + outcomes);
     shared.meters.store_used_bytes.set(i64::try_from(control.capacity.used()).unwrap_or(i64::MAX));
     bytes_per_token
 }
@@ -93,10 +93,10 @@
 fn log_transition(shared: &Shared, rejecting: &mut bool) {
     let now = shared.now();
     let control = shared.control.borrow();
-    let allowed = control.capacity.allows(now, Use::Head, 0);
+    let allowed = control.capacity.allows(now, Purpose::Manifest, 0);
     if *rejecting == allowed {
         *rejecting = !allowed;
-        let (used, total) = (control.capacity.used(), control.capacity.room());
+        let (used, total) = (control.capacity.used(), control.capacity.total());
         let full = control.capacity.is_full(now);
         if allowed {
             log::info!("store has free capacity again: {used} of {total} bytes known to be used");
@@ -128,12 +128,12 @@
 
 /// Milliseconds until the records of a job will next be deleted.
 fn next_deletion_ms(shared: &Shared) -> Option<u64> {
-    let kept_ms = shared.settings.times.status_ms().saturating_add(CLOCKS_APART_MS);
+    let kept_ms = shared.settings.times.status_ms().saturating_add(MAX_CLOCK_SKEW_MS);
     let now_ms = unix_ms();
     let control = shared.control.borrow();
     let jobs = control.partitions.iter().flat_map(|partition| partition.index.jobs.values());
     let left = |at_ms: u64| kept_ms.saturating_sub(now_ms.saturating_sub(at_ms));
-    jobs.filter(|job| job.ended).map(|job| left(job.head.at_ms)).min()
+    jobs.filter(|job| job.ended).map(|job| left(job.manifest.at_ms)).min()
 }
 
 /// Trims the logs of a job partition and of the texts partition with the same
@@ -165,18 +165,18 @@
     let now = shared.now();
     let control = shared.control.borrow();
     let members = control.roster.members();
-    let max_log_bytes = control.capacity.log_most(2 * control.partitions.len());
+    let max_log_bytes = control.capacity.max_log_bytes(2 * control.partitions.len());
     let full = control.capacity.is_full(now);
     // Instances that follow the jobs would have to read a snapshot again if
     // records were trimmed before they read them. Texts can also be read by
     // their keys.
-    let min_age_ms = if at == 0 { room::LEAST_MS } else { FULL_TEXTS_MS };
+    let min_age_ms = if at == 0 { capacity::MIN_LOG_AGE_MS } else { FULL_TEXTS_MS };
     let log = &control.partitions[part].logs[at];
     let is_owner = owner(members, &format!("trim {part}"), "") == Some(shared.instance_id.as_str());
     let is_overdue = log.bytes(0) > max_log_bytes + max_log_bytes / 2;
     let is_helper =
         (full || is_overdue) && rand::random_bool((HELPERS / members.len() as f64).min(1.0));
-    let before = log.cut(now, max_log_bytes, full.then_some(min_age_ms))?;
+    let before = log.trim_offset(now, max_log_bytes, full.then_some(min_age_ms))?;
     (is_owner || is_helper).then_some((before, full))
 }
 
--- a/crates/hollywell/src/entry/codec.rs
+++ b/crates/hollywell/src/entry/codec.rs
@@ -10,8 +10,8 @@
 use crate::core::{
     batch::{Outcome, Submission},
     choice::Load,
+    configuration::Configuration,
     fleet::Announcement,
-    plan::Plan,
     usage::Counts,
 };
 
@@ -126,7 +126,7 @@
 #[derive(Clone, Debug)]
 pub enum Command {
     /// A whole configuration.
-    Configuration(Plan),
+    Configuration(Configuration),
     /// A trainer's newest weights.
     Version {
         /// The model.
--- a/crates/hollywell/src/entry/duties.rs
+++ b/crates/hollywell/src/entry/duties.rs
@@ -15,7 +15,7 @@
 
 use crate::{
     core::{
-        room::Use,
+        capacity::Purpose,
         roster,
         usage::{self, Ledger, Next},
     },
@@ -205,18 +205,18 @@
     let mut skipped = Vec::new();
     for record in &decided.records {
         let value = record.value.clone().unwrap_or_default();
-        skipped.extend(ledger.duty(&record.key, &value).err());
+        skipped.extend(ledger.add_record(&record.key, &value).err());
     }
     for record in &pieces.records {
         let value = record.value.clone().unwrap_or_default();
-        skipped.extend(ledger.piece(&record.key, &value).err());
+        skipped.extend(ledger.add_counts(&record.key, &value).err());
     }
     for error in skipped {
         shared.meters.usage_skipped.inc();
         log::warn!("{error}");
     }
     let keys = pieces.records.into_iter().map(|record| record.key);
-    let obsolete = keys.filter(|key| ledger.is_spent(key)).collect();
+    let obsolete = keys.filter(|key| ledger.is_obsolete(key)).collect();
     Ok((ledger, decided.end, obsolete))
 }
 
@@ -232,7 +232,7 @@
 /// returns whether that succeeded.
 async fn write(shared: &Shared, records: Vec<(String, Bytes)>, end: u64) -> bool {
     let records = records.into_iter().map(|(key, value)| (Some(key), value)).collect();
-    let (part, purpose) = (Partition::new(TOPIC, 0), Use::Usage);
+    let (part, purpose) = (Partition::new(TOPIC, 0), Purpose::Usage);
     let append = Append { part, records, expected_end: Some(end), purpose };
     match shared.append(append).await {
         Ok(_) => true,
@@ -249,7 +249,7 @@
         return;
     }
     let records = keys.into_iter().map(|key| (Some(key), Bytes::new())).collect();
-    let (part, purpose) = (Partition::new(counted::TOPIC, 0), Use::Drop);
+    let (part, purpose) = (Partition::new(counted::TOPIC, 0), Purpose::Delete);
     if let Err(error) = shared.append(Append { part, records, expected_end: None, purpose }).await {
         log::info!("deleting counts that were reported: {error}");
     }
--- a/crates/hollywell/src/entry/garbage.rs
+++ b/crates/hollywell/src/entry/garbage.rs
@@ -1,6 +1,6 @@
 //! Garbage collection: deletes stored records that are no longer needed. The
 //! store keeps the newest record of each key for good, and its capacity is
-//! small. [`crate::core::batch::Spare`] decides what may be deleted.
+//! small. [`crate::core::batch::Garbage`] decides what may be deleted.
 //!
 //! The records of a job are deleted by one instance, the one that its id hashes
 //! to. An instance that takes over deletes some of them again, which is
@@ -13,9 +13,9 @@
 
 use crate::{
     core::{
-        batch::{self, Book, Keys, Spare, Terms},
+        batch::{self, Garbage, Index, Keys, Retention},
+        capacity::Purpose,
         dispatch::owner,
-        room::Use,
         time::Time,
     },
     entry::{
@@ -102,14 +102,14 @@
 struct Deletions {
     keys: Keys,
     /// The states of jobs after the deletion.
-    after: Vec<(String, Spare)>,
+    after: Vec<(String, Garbage)>,
     jobs: Vec<String>,
     orphans: Vec<String>,
 }
 
 /// Deletes this instance's share of the garbage until the instance stops.
 pub async fn serve(shared: Rc<Shared>) {
-    let mut garbage: HashMap<String, Spare> = HashMap::new();
+    let mut garbage: HashMap<String, Garbage> = HashMap::new();
     loop {
         sleep(SCAN_INTERVAL).await;
         observe(&shared, &mut garbage);
@@ -127,12 +127,12 @@
 }
 
 /// Updates the state of each job.
-fn observe(shared: &Shared, garbage: &mut HashMap<String, Spare>) {
+fn observe(shared: &Shared, garbage: &mut HashMap<String, Garbage>) {
     let now = shared.now();
     let control = shared.control.borrow();
     let jobs = || control.partitions.iter().flat_map(|partition| &partition.index.jobs);
     for (id, job) in jobs() {
-        garbage.entry(id.clone()).or_insert_with(|| Spare::new(now)).look(job, now);
+        garbage.entry(id.clone()).or_insert_with(|| Garbage::new(now)).observe(job, now);
     }
     garbage.retain(|id, _| {
         control.partitions.iter().any(|partition| partition.index.jobs.contains_key(id))
@@ -141,9 +141,9 @@
 
 /// Finds the records of a partition that are no longer needed and that this
 /// instance must delete.
-fn find_deletions(shared: &Shared, part: usize, garbage: &HashMap<String, Spare>) -> Deletions {
+fn find_deletions(shared: &Shared, part: usize, garbage: &HashMap<String, Garbage>) -> Deletions {
     let status_ms = shared.settings.times.status_ms();
-    let (now, unix_ms, terms) = (shared.now(), unix_ms(), Terms { status_ms });
+    let (now, unix_ms, terms) = (shared.now(), unix_ms(), Retention { status_ms });
     let control = shared.control.borrow();
     let mut deletions = Deletions::default();
     let index = &control.partitions[part].index;
@@ -152,7 +152,7 @@
             continue;
         };
         let mut after_deletion = None;
-        let keys = if job_garbage.is_over(job, now, unix_ms, terms) {
+        let keys = if job_garbage.is_expired(job, now, unix_ms, terms) {
             job.keys(id)
         } else {
             let (keys, after) = job_garbage.next(id, job, now);
@@ -171,7 +171,7 @@
         }
         deletions.keys.jobs.extend(keys.jobs);
         deletions.keys.texts.extend(keys.texts);
-        deletions.keys.heads.extend(keys.heads);
+        deletions.keys.manifests.extend(keys.manifests);
     }
     // A reference may have been appended until the record is due, so only a
     // later read of the partition counts.
@@ -191,16 +191,16 @@
     deletions
 }
 
-fn is_referenced(index: &Book, job: &str, key: &str) -> bool {
+fn is_referenced(index: &Index, job: &str, key: &str) -> bool {
     let job = index.jobs.get(job);
-    job.is_some_and(|job| job.head.bundles.iter().any(|bundle| bundle.key == key))
+    job.is_some_and(|job| job.manifest.bundles.iter().any(|bundle| bundle.key == key))
 }
 
 fn record_deleted(
     shared: &Shared,
     part: usize,
     deletions: Deletions,
-    garbage: &mut HashMap<String, Spare>,
+    garbage: &mut HashMap<String, Garbage>,
 ) {
     garbage.extend(deletions.after);
     let mut orphans = shared.orphans.0.borrow_mut();
@@ -219,7 +219,7 @@
     }
     let jobs = Partition::at(JOBS, part);
     delete_keys(shared, &jobs, &deletions.keys.jobs).await?;
-    for pairs in deletions.keys.heads.chunks(MAX_BATCH / 2) {
+    for pairs in deletions.keys.manifests.chunks(MAX_BATCH / 2) {
         delete_keys(shared, &jobs, pairs.as_flattened()).await?;
     }
     Ok(())
@@ -233,7 +233,7 @@
     part: &Partition,
     job: &str,
 ) -> Result<(), StoreError> {
-    let first = batch::first_key(job);
+    let first = batch::key_prefix(job);
     let mut after = Some(first.clone());
     while let Some(from) = after {
         let page = shared.reader.newest(part, Some(from)).await?;
@@ -254,7 +254,7 @@
 ) -> Result<(), StoreError> {
     for chunk in keys.chunks(MAX_BATCH) {
         let records = chunk.iter().map(|key| (Some(key.clone()), Bytes::new())).collect();
-        let (part, purpose) = (part.clone(), Use::Drop);
+        let (part, purpose) = (part.clone(), Purpose::Delete);
         shared.append(Append { part, records, expected_end: None, purpose }).await?;
     }
     Ok(())
--- a/crates/hollywell/src/entry/ingress.rs
+++ b/crates/hollywell/src/entry/ingress.rs
@@ -19,7 +19,7 @@
 
 use crate::{
     core::{
-        plan::{Plan, Repeat, Route},
+        configuration::{Configuration, Route, RouteKind},
         time::Time,
     },
     entry::{
@@ -200,7 +200,7 @@
         && control.configuration.is_some()
         && control.poison_loaded
         && control.fleet_loaded
-        && !control.fleet.store_away
+        && !control.fleet.store_unavailable
 }
 
 /// All meters as text.
@@ -237,7 +237,7 @@
 
 /// The configuration, once it is known, and what is known against requests
 /// with it: an instance that starts must not end targets that others spare.
-fn known_plan(shared: &Shared) -> Option<Rc<Plan>> {
+fn known_plan(shared: &Shared) -> Option<Rc<Configuration>> {
     let control = shared.control.borrow();
     control.configuration.clone().filter(|_| control.poison_loaded)
 }
@@ -252,7 +252,7 @@
             Err(kind) => return refuse(shared, kind),
         };
     let Some(plan) = known_plan(shared) else {
-        return refuse(shared, Kind::StoreAway);
+        return refuse(shared, Kind::StoreUnavailable);
     };
     let names = &shared.codec.headers;
     if plan.organisations.is_some() {
@@ -273,7 +273,7 @@
     let Some(id) = id.map(str::to_owned) else {
         return refuse(shared, Kind::Malformed);
     };
-    if route.repeat == Repeat::Batch {
+    if route.kind == RouteKind::Batch {
         return submit(shared, &caller, &id, &host, head.uri.path(), &body).await;
     }
     let timeout_ms = if route.timeout_ms == 0 { DEADLINE_MS } else { route.timeout_ms };
@@ -296,7 +296,7 @@
 
 async fn forwarded(
     shared: &Rc<Shared>,
-    plan: &Plan,
+    plan: &Configuration,
     route: &Route,
     plain: &PlainRequest,
 ) -> HttpResponse {
@@ -336,7 +336,7 @@
     };
     if *caller != Caller::Unrestricted {
         let own = [header::AUTHORIZATION.as_str(), shared.codec.headers.organisation.as_str()];
-        decoded.drop_headers(&own);
+        decoded.remove_headers(&own);
     }
     let done = jobs::submit(shared, caller, id, host, path, &decoded).await;
     let accepted = done == JobReply::Done;
@@ -351,7 +351,7 @@
     match reply {
         JobReply::Done => Response::new(Full::default()),
         JobReply::Body(body) => Response::new(Full::new(body)),
-        JobReply::Rejected | JobReply::Unavailable => refuse(shared, Kind::StoreAway),
+        JobReply::Rejected | JobReply::Unavailable => refuse(shared, Kind::StoreUnavailable),
         JobReply::StoreFull(ms) => come_back(refuse(shared, Kind::StoreFull), ms),
         JobReply::OutcomeUnknown => refuse(shared, Kind::OutcomeUnknown),
         JobReply::NotFound => refuse(shared, Kind::NoRoute),
--- a/crates/hollywell/src/entry/lease.rs
+++ b/crates/hollywell/src/entry/lease.rs
@@ -1,5 +1,5 @@
 //! A lease on a role that one instance has at a time, kept by compare-and-append
-//! on a partition of its own. [`crate::core::tenure`] decides; this module makes
+//! on a partition of its own. [`crate::core::store_lease`] decides; this module makes
 //! the calls.
 
 use std::{
@@ -13,8 +13,8 @@
 
 use crate::{
     core::{
-        room::Use,
-        tenure::{Claim, Tenure, Terms},
+        capacity::Purpose,
+        store_lease::{Claim, StoreLease, Timing},
     },
     entry::{
         shared::Shared,
@@ -37,8 +37,8 @@
     part: Partition,
     /// What the lease is on, for logs.
     subject: String,
-    terms: Terms,
-    state: RefCell<Tenure>,
+    terms: Timing,
+    state: RefCell<StoreLease>,
     /// The holder has work to do.
     wanted: Cell<bool>,
     /// Notified when a claim must be made before the next regular one.
@@ -52,7 +52,7 @@
         Rc::new(Lease {
             part,
             subject: subject.to_owned(),
-            terms: Terms { term_ms: TERM_MS, apart_ms },
+            terms: Timing { term_ms: TERM_MS, apart_ms },
             state: RefCell::default(),
             wanted: Cell::new(false),
             urgent: Notify::new(),
@@ -81,7 +81,7 @@
 
     /// Records that a call with the fencing token is sent now.
     pub(super) fn record_use(&self, shared: &Shared) {
-        self.state.borrow_mut().ordered(shared.now());
+        self.state.borrow_mut().record_order(shared.now());
     }
 
     /// Releases the lease, if it is held.
@@ -131,12 +131,12 @@
                     let value = record.value.clone().unwrap_or_default();
                     match serde_json::from_slice::<Claim>(&value) {
                         Ok(claim) => {
-                            state.read(&shared.instance_id, shared.now(), record.offset, &claim)
+                            state.observe(&shared.instance_id, shared.now(), record.offset, &claim)
                         }
                         Err(error) => log::warn!("claim at {} skipped: {error}", record.offset),
                     }
                 }
-                state.read_to(records.end);
+                state.observe_end(records.end);
             }
             Err(StoreError::Trimmed(first)) => self.state.borrow_mut().end = first,
             Err(error) => {
@@ -168,13 +168,13 @@
         let value = Bytes::from(serde_json::to_vec(&claim).unwrap_or_default());
         let expected_end = Some(self.state.borrow().end);
         let (part, records) = (self.part.clone(), vec![(None, value)]);
-        let append = Append { part, records, expected_end, purpose: Use::Claim };
+        let append = Append { part, records, expected_end, purpose: Purpose::Claim };
         match shared.append(append).await {
             Ok(appended) => {
                 if claim.renews.is_none() {
                     log::info!("lease of {} granted, fence {}", self.subject, appended.offset);
                 }
-                self.state.borrow_mut().granted(sent, appended.offset, &claim, self.terms);
+                self.state.borrow_mut().record_grant(sent, appended.offset, &claim, self.terms);
             }
             Err(StoreError::EndMismatch(_)) => {
                 // Another claim came first, or one of this instance whose
--- a/crates/hollywell/src/entry/orders.rs
+++ b/crates/hollywell/src/entry/orders.rs
@@ -14,8 +14,8 @@
 
 use crate::{
     core::{
-        roll::{self, Order, Step},
         roster,
+        weight_loading::{self, Order, Step},
     },
     entry::{
         codec::VersionOrder,
@@ -50,7 +50,7 @@
 
 struct OrderIssuer {
     lease: Rc<Lease>,
-    roll: RefCell<roll::State>,
+    roll: RefCell<weight_loading::State>,
 }
 
 /// Competes for the failure domain's lease and sends orders while it is held.
@@ -88,7 +88,11 @@
     }
     {
         let control = shared.control.borrow();
-        issuer.lease.set_wanted(roll::is_due(domain, &control.models, &control.fleet));
+        issuer.lease.set_wanted(weight_loading::has_due_load(
+            domain,
+            &control.models,
+            &control.fleet,
+        ));
     }
     // Orders may be sent only if a call started now ends within the lease.
     if issuer.lease.fencing_token(shared, CALL_TIMEOUT).is_none() {
@@ -110,19 +114,19 @@
     let mut steps: BTreeMap<String, Vec<Step>> = BTreeMap::new();
     let jobs = control.partitions.iter().flat_map(|partition| &partition.index.jobs);
     for (id, job) in jobs {
-        if job.ended || job.is_whole() || control.ending.holds(id) {
+        if job.ended || job.is_complete() || control.ending.is_pending(id) {
             continue;
         }
-        let samples = (job.done.len() - job.listed.len()) as u64;
-        let step = Step { min_version: job.head.min_version, samples };
-        steps.entry(job.head.model.clone()).or_default().push(step);
+        let samples = (job.done.len() - job.results.len()) as u64;
+        let step = Step { min_version: job.manifest.min_version, samples };
+        steps.entry(job.manifest.model.clone()).or_default().push(step);
     }
     steps
 }
 
 async fn execute(shared: Rc<Shared>, issuer: Rc<OrderIssuer>, order: Order) {
     let Some(report) = fetch_report(&shared, &order.target).await else {
-        issuer.roll.borrow_mut().failed(&order.target);
+        issuer.roll.borrow_mut().order_failed(&order.target);
         return;
     };
     apply_report(&shared, &order, &report);
@@ -156,7 +160,7 @@
             // An order without a response may still be carried out; the next
             // report shows it.
             sleep(LOAD_CHECK_INTERVAL).await;
-            issuer.roll.borrow_mut().failed(&order.target);
+            issuer.roll.borrow_mut().order_failed(&order.target);
             return;
         }
     }
@@ -171,19 +175,20 @@
         }
         sleep(LOAD_CHECK_INTERVAL).await;
     }
-    issuer.roll.borrow_mut().failed(&order.target);
+    issuer.roll.borrow_mut().order_failed(&order.target);
 }
 
 fn apply_report(shared: &Shared, order: &Order, report: &crate::entry::codec::Report) {
     let control = &mut *shared.control.borrow_mut();
-    if control.fleet.started(&order.target, report.born)
-        && let Some(address) = control.fleet.targets.get(&order.target).map(|t| t.said.address)
+    if control.fleet.record_start(&order.target, report.born)
+        && let Some(address) =
+            control.fleet.targets.get(&order.target).map(|t| t.announcement.address)
     {
         shared.reset_target(control, &order.target, address);
     }
-    let born = control.fleet.targets.get(&order.target).and_then(|target| target.said.born);
+    let born = control.fleet.targets.get(&order.target).and_then(|target| target.announcement.born);
     for (model, version) in &report.versions {
-        control.fleet.answered(&order.target, born, model, *version);
+        control.fleet.record_version(&order.target, born, model, *version);
     }
 }
 
@@ -211,7 +216,7 @@
 ) -> Option<(http::StatusCode, Bytes)> {
     let address = {
         let control = shared.control.borrow();
-        control.fleet.targets.get(target).map(|target| target.said.address)
+        control.fleet.targets.get(target).map(|target| target.announcement.address)
     }?;
     let request = Request::builder()
         .method(method)
--- a/crates/hollywell/src/entry/outbox.rs
+++ b/crates/hollywell/src/entry/outbox.rs
@@ -18,8 +18,8 @@
 use crate::{
     core::{
         batch::{self, Outcome, Partial, TextRef},
+        capacity::Purpose,
         dispatch::Slot,
-        room::Use,
     },
     entry::{
         run::GeneratedText,
@@ -69,10 +69,10 @@
         let Some(job) = control.partitions[part].index.jobs.get(&slot.job) else {
             return;
         };
-        let id = job.head.samples[slot.at].id.clone();
+        let id = job.manifest.samples[slot.at].id.clone();
         let versions = if dead { vec![] } else { text.versions.into_iter().collect() };
         let score = text.score.filter(|_| !dead);
-        let outcome = Outcome { id, dead, text: None, versions, score };
+        let outcome = Outcome { id, abandoned: dead, text: None, versions, score };
         let text = (!dead).then(|| Bytes::from(text.data));
         let entry = Entry { slot: slot.clone(), outcome, text };
         shared.outbox[part].queue.borrow_mut().push_back(entry);
@@ -117,7 +117,7 @@
     };
     let keyed: Vec<(String, Bytes)> = waiting.iter().map(record).collect();
     let records = keyed.iter().map(|(key, text)| (Some(key.clone()), text.clone())).collect();
-    let (at, purpose) = (Partition::at(TEXTS, part), Use::Text);
+    let (at, purpose) = (Partition::at(TEXTS, part), Purpose::Text);
     let append = Append { part: at, records, expected_end: None, purpose };
     let appended = shared.append(append).await;
     if matches!(appended, Err(StoreError::OutcomeUnknown(_))) {
@@ -147,11 +147,11 @@
         let (key, value) = batch::outcome_record(&slot.job, &shared.unique_key_part(), outcome);
         records.push((Some(key), value));
     }
-    let (at, purpose) = (Partition::at(JOBS, part), Use::Outcome);
+    let (at, purpose) = (Partition::at(JOBS, part), Purpose::Outcome);
     let append = Append { part: at, records, expected_end: None, purpose };
     let appended = shared.append(append).await?;
     for (Entry { slot, outcome, .. }, offset) in taken.iter().zip(appended.offset..) {
-        let ending = if outcome.dead { "given up" } else { "whole" };
+        let ending = if outcome.abandoned { "given up" } else { "whole" };
         log::debug!("sample {}/{} is {ending}: record {offset} or after", slot.job, slot.at);
     }
     Ok(())
@@ -244,7 +244,7 @@
     let keys: Vec<String> = grown.iter().map(key).collect();
     let records = keys.iter().zip(grown);
     let records = records.map(|(key, grown)| (Some(key.clone()), grown.piece.clone())).collect();
-    let (at, purpose) = (Partition::at(TEXTS, part), Use::Unfinished);
+    let (at, purpose) = (Partition::at(TEXTS, part), Purpose::PartialText);
     let append = Append { part: at, records, expected_end: None, purpose };
     let appended = shared.append(append).await;
     if matches!(appended, Err(StoreError::OutcomeUnknown(_))) {
@@ -295,7 +295,7 @@
         }
         grown.push(Grown {
             slot: slot.clone(),
-            sample: job.head.samples[slot.at].id.clone(),
+            sample: job.manifest.samples[slot.at].id.clone(),
             last: text.last_event,
             versions: text.versions.iter().copied().collect(),
             kept: text.stored.clone(),
--- a/crates/hollywell/src/entry/relay.rs
+++ b/crates/hollywell/src/entry/relay.rs
@@ -140,7 +140,7 @@
 /// Caches a snapshot of a partition, which is `age_ms` old, for other instances
 /// of the failure domain, if any of them uses this one.
 pub fn keep(shared: &Shared, part: &Partition, read: &Records, age_ms: u64) {
-    if relay::is_used(shared.control.borrow().roster.members(), &shared.instance_id) {
+    if relay::has_relays(shared.control.borrow().roster.members(), &shared.instance_id) {
         let body = Bytes::from(Snapshot::new(read).encode_to_vec());
         let cached = CachedSnapshot { body, age_ms, cached_at: shared.now() };
         shared.relay.cached.borrow_mut().insert(part.clone(), cached);
@@ -190,7 +190,7 @@
     loop {
         let (is_settled, is_known) = {
             let control = shared.control.borrow();
-            (control.census.is_settled(), !control.roster.members().is_empty())
+            (control.group_size.is_settled(), !control.roster.members().is_empty())
         };
         let timeout = if is_known { ALL_MEMBERS_TIMEOUT } else { FIRST_MEMBER_TIMEOUT };
         if is_settled || started.elapsed() >= timeout {
--- a/crates/hollywell/src/entry/resume.rs
+++ b/crates/hollywell/src/entry/resume.rs
@@ -5,7 +5,7 @@
 
 use crate::{
     core::{
-        batch::{Head, Partial},
+        batch::{Manifest, Partial},
         dispatch::Item,
     },
     entry::shared::JobPartition,
@@ -17,7 +17,12 @@
 
 /// The samples of a job that is opened, as they are run. Unfinished texts of
 /// earlier steps are handed to the job; old ones are dropped.
-pub fn items(partitions: &mut [JobPartition], part: usize, job: &str, head: &Head) -> Vec<Item> {
+pub fn items(
+    partitions: &mut [JobPartition],
+    part: usize,
+    job: &str,
+    head: &Manifest,
+) -> Vec<Item> {
     forget(partitions, head);
     let mut items = Vec::new();
     for (at, sample) in head.samples.iter().enumerate() {
@@ -48,10 +53,10 @@
     found
 }
 
-fn forget(partitions: &mut [JobPartition], head: &Head) {
+fn forget(partitions: &mut [JobPartition], head: &Manifest) {
     let jobs = partitions.iter_mut().flat_map(|partition| partition.index.jobs.values_mut());
     for job in jobs {
-        let old = job.head.model == head.model && job.head.step + STEPS < head.step;
+        let old = job.manifest.model == head.model && job.manifest.step + STEPS < head.step;
         if old {
             job.partials.clear();
         }
--- a/crates/hollywell/src/entry/run.rs
+++ b/crates/hollywell/src/entry/run.rs
@@ -67,7 +67,7 @@
 pub fn start(shared: &Rc<Shared>, run: Run, slot: Slot, target: &str, priority: u8) {
     let said = {
         let control = shared.control.borrow();
-        control.fleet.targets.get(target).map(|target| target.said.clone())
+        control.fleet.targets.get(target).map(|target| target.announcement.clone())
     };
     let Some(said) = said else {
         let shared = shared.clone();
@@ -117,7 +117,7 @@
     let known = control.partial_texts.get(slot).map_or(0, |text| text.last_event);
     if partial.last > known {
         // What an earlier job kept goes with that job, and is kept anew.
-        let own = partial.is_of(&slot.job);
+        let own = partial.belongs_to(&slot.job);
         let text = GeneratedText {
             last_event: partial.last,
             versions: partial.versions.into_iter().collect(),
@@ -138,7 +138,7 @@
     let job = control.partitions[part].index.jobs.get(&slot.job)?;
     let partial = job.partials.get(&slot.at)?;
     let known = control.partial_texts.get(slot).map_or(0, |text| text.last_event);
-    let allowed = partial.is_allowed(job.head.min_version);
+    let allowed = partial.is_allowed(job.manifest.min_version);
     (partial.last > known && allowed).then(|| partial.clone())
 }
 
@@ -185,7 +185,8 @@
 fn digest(shared: &Shared, slot: &Slot, sample: &Sample) -> Digest {
     let control = shared.control.borrow();
     let job = control.partitions[shared.partition_of(&slot.job)].index.jobs.get(&slot.job);
-    let (host, organisation) = job.map_or(("", ""), |job| (&job.head.host, &job.head.organisation));
+    let (host, organisation) =
+        job.map_or(("", ""), |job| (&job.manifest.host, &job.manifest.organisation));
     Digest::of(&["POST", host, &sample.path, organisation], &sample.body)
 }
 
@@ -211,7 +212,7 @@
     let headers = &shared.codec.headers;
     if let Some(load) = answer.header(&headers.load).and_then(shared.codec.load) {
         let now = shared.now();
-        shared.control.borrow_mut().observations.load(now, &target.id, load);
+        shared.control.borrow_mut().observations.record_load(now, &target.id, load);
     }
     match answer.head.status {
         StatusCode::OK => stream(shared, run, slot, target, digest, answer).await,
@@ -237,12 +238,12 @@
     let job = control.partitions[shared.partition_of(&slot.job)].index.jobs.get(&slot.job)?;
     let headers = &shared.codec.headers;
     let mut request = Request::post(sample.path.as_str())
-        .header(http::header::HOST, job.head.host.as_str())
+        .header(http::header::HOST, job.manifest.host.as_str())
         .header(&headers.request_id, sample.id.as_str())
         .header(&headers.target, target.id.as_str())
         .header(&headers.priority, HeaderValue::from(u16::from(priority)));
-    if !job.head.organisation.is_empty() {
-        request = request.header(&headers.organisation, job.head.organisation.as_str());
+    if !job.manifest.organisation.is_empty() {
+        request = request.header(&headers.organisation, job.manifest.organisation.as_str());
     }
     for header in &sample.headers {
         request = request.header(header.name.as_str(), header.value.as_str());
@@ -278,7 +279,7 @@
     /// Notes that the target has a version of the model.
     fn saw(&self, version: u64) {
         let Announcement { id, born, .. } = self.target;
-        self.shared.control.borrow_mut().fleet.answered(id, *born, &self.model, version);
+        self.shared.control.borrow_mut().fleet.record_version(id, *born, &self.model, version);
     }
 
     /// Takes one whole event into the sample's text. `version` is the one
@@ -305,7 +306,7 @@
             text.take(&piece, version);
         }
         suspects::record_served(self.shared, || self.digest);
-        self.shared.handle_event(&Event::Piece { run: self.run });
+        self.shared.handle_event(&Event::StreamEvent { run: self.run });
         Ok(())
     }
 }
@@ -325,8 +326,8 @@
         else {
             return End::Broken;
         };
-        let (model, min_version) = (job.head.model.clone(), job.head.min_version);
-        let id = job.head.samples[slot.at].id.clone();
+        let (model, min_version) = (job.manifest.model.clone(), job.manifest.min_version);
+        let id = job.manifest.samples[slot.at].id.clone();
         Context { shared, run, slot, target, digest, model, min_version, id }
     };
     match events(&context, answer).await {
@@ -350,7 +351,7 @@
     if version.is_some_and(|version| version < context.min_version) {
         return Err(End::WrongVersion);
     }
-    context.shared.handle_event(&Event::Head { run: context.run });
+    context.shared.handle_event(&Event::AnswerStarted { run: context.run });
     let mut splitter = EventSplitter::default();
     while let Some(data) = answer.chunk().await.map_err(|error| context.broken(&error))? {
         splitter.push(&data);
--- a/crates/hollywell/src/entry/samples.rs
+++ b/crates/hollywell/src/entry/samples.rs
@@ -9,9 +9,9 @@
 
 use crate::{
     core::{
-        batch::{self, Brief, Bundle, Sample, Submission, TextRef},
+        batch::{self, Bundle, Sample, SampleMeta, Submission, TextRef},
+        capacity::Purpose,
         dispatch::Slot,
-        room::Use,
     },
     entry::{
         shared::{Shared, TEXTS},
@@ -30,7 +30,7 @@
     let part = shared.partition_of(&slot.job);
     let (bundle, at, text) = {
         let control = shared.control.borrow();
-        let head = &control.partitions[part].index.jobs.get(&slot.job)?.head;
+        let head = &control.partitions[part].index.jobs.get(&slot.job)?.manifest;
         let brief = head.samples.get(slot.at)?;
         let (bundle, at) = (brief.bundle as usize, brief.at as usize);
         let known = control.bundles.get(&(slot.job.clone(), bundle));
@@ -61,7 +61,7 @@
     let control = &mut *shared.control.borrow_mut();
     // A job that was ended meanwhile is not remembered.
     let open = control.partitions[part].index.jobs.get(&slot.job).is_some_and(|job| !job.ended)
-        && !control.ending.holds(&slot.job);
+        && !control.ending.is_pending(&slot.job);
     if open {
         control.bundles.insert((slot.job.clone(), bundle), decoded.clone());
     }
@@ -77,7 +77,7 @@
     shared: &Rc<Shared>,
     job: &str,
     submission: &Submission,
-) -> Result<(Vec<Brief>, Vec<TextRef>), StoreError> {
+) -> Result<(Vec<SampleMeta>, Vec<TextRef>), StoreError> {
     let part = shared.partition_of(job);
     let store = &shared.settings.store;
     let (briefs, bundles) = batch::bundle(submission, store.record_bytes / 2);
@@ -113,7 +113,7 @@
         return Ok(());
     }
     let part = Partition::new(TEXTS, number);
-    let purpose = Use::Requests;
+    let purpose = Purpose::Requests;
     let append = Append { part, records: records.clone(), expected_end: None, purpose };
     let mut tries = 1;
     let first = loop {
--- a/crates/hollywell/src/entry/shared.rs
+++ b/crates/hollywell/src/entry/shared.rs
@@ -17,19 +17,19 @@
 use crate::{
     clock::Clock,
     core::{
-        batch::{self, Book, Bundle, Change, Record, Written},
-        choice::Sights,
+        batch::{self, Bundle, Change, Index, Record, Written},
+        capacity,
+        choice::Observations,
+        configuration::{Configuration, RouteKind},
         dispatch::{self, Effect, Event, Run, Slot, Work},
         ending,
         fleet::{Announcement, Fleet},
-        group::Census,
-        plan::{Plan, Repeat},
+        group::GroupSize,
+        permit::Permits,
         poison,
-        roll::Models,
-        room,
         roster::Roster,
         time::Time,
-        turn::Turns,
+        weight_loading::Models,
     },
     entry::{
         codec::Codec,
@@ -71,9 +71,9 @@
 #[derive(Debug, Default)]
 pub struct JobPartition {
     /// The jobs of the partition.
-    pub index: Book,
+    pub index: Index,
     /// Sizes of the partition's logs: of jobs, and of texts.
-    pub logs: [room::Log; 2],
+    pub logs: [capacity::Log; 2],
     /// The offset to read next.
     pub next: u64,
     /// The partition was read from its beginning at least once.
@@ -94,7 +94,7 @@
     fn is_stale(&self, now: Time, fleet: &Fleet) -> bool {
         match self.read_at {
             None => self.loaded,
-            Some(read_at) => !fleet.store_away && now.since(read_at) > STALE_MS,
+            Some(read_at) => !fleet.store_unavailable && now.since(read_at) > STALE_MS,
         }
     }
 
@@ -102,8 +102,8 @@
     fn update_logs(&mut self, now: Time) {
         let written = self.index.written;
         let before = std::mem::replace(&mut self.logged, written);
-        self.logs[0].note(now, self.next, written.jobs - before.jobs);
-        self.logs[1].note(now, written.texts_end, written.texts - before.texts);
+        self.logs[0].record(now, self.next, written.jobs - before.jobs);
+        self.logs[1].record(now, written.texts_end, written.texts - before.texts);
     }
 }
 
@@ -112,14 +112,14 @@
 #[derive(Debug)]
 pub struct Control {
     /// The configuration in force, once one has been read.
-    pub configuration: Option<Rc<Plan>>,
+    pub configuration: Option<Rc<Configuration>>,
     /// The time up to which the operator's topic is known; `None` before it
     /// was read.
     pub configuration_read_at: Option<Time>,
     /// The known targets.
     pub fleet: Fleet,
     /// Observed load and faults of the targets.
-    pub observations: Sights,
+    pub observations: Observations,
     /// Samples and the targets that they run on.
     pub dispatch: dispatch::State,
     /// Requested ends of jobs that are not stored yet.
@@ -129,10 +129,10 @@
     /// The suspects recorded by other instances were read.
     pub poison_loaded: bool,
     /// Estimated usage of the store's capacity.
-    pub capacity: room::State,
+    pub capacity: capacity::State,
     /// Sizes of the logs other than those of jobs and texts, which are written
     /// by the operator, the targets and all instances.
-    pub other_logs: HashMap<Partition, room::Log>,
+    pub other_logs: HashMap<Partition, capacity::Log>,
     /// Batch jobs, by partition.
     pub partitions: Vec<JobPartition>,
     /// The newest version of each model's weights, and the demand for it.
@@ -148,7 +148,7 @@
     /// The live instances.
     pub roster: Roster,
     /// The number of live instances, as far as the store shows it.
-    pub census: Census,
+    pub group_size: GroupSize,
     /// Time of the first failure since the store's last successful call;
     /// `None` if the last call succeeded.
     pub store_failing_since: Option<Time>,
@@ -166,7 +166,7 @@
     pub fn is_sample_open(&self, part: usize, slot: &Slot) -> bool {
         let job = self.partitions[part].index.jobs.get(&slot.job);
         let open = job.is_some_and(|job| !job.ended && !job.done[slot.at]);
-        open && !self.ending.holds(&slot.job)
+        open && !self.ending.is_pending(&slot.job)
     }
 
     /// Whether the local state of a job partition is stale.
@@ -246,7 +246,7 @@
     /// Suspects that are not stored yet.
     pub unsaved_suspects: suspects::UnsavedSuspects,
     /// Permits for isolated probes of suspects that this instance issues.
-    pub probe_permits: RefCell<Turns>,
+    pub probe_permits: RefCell<Permits>,
     /// Requests of organisations counted here.
     pub usage: usage::Usage,
     /// Records that were appended, or may have been, without a reference.
@@ -284,7 +284,7 @@
         let mut control = self.control.borrow_mut();
         if ok {
             let since = control.store_failing_since.take();
-            control.fleet.store(now, false);
+            control.fleet.record_store_state(now, false);
             self.reader.set_store_unavailable(false);
             if since.is_some_and(|since| now.since(since) > UNAVAILABLE_MS) {
                 log::info!("store regained");
@@ -293,10 +293,10 @@
         }
         let since = *control.store_failing_since.get_or_insert(now);
         let unavailable = now.since(since) > UNAVAILABLE_MS;
-        if unavailable && !control.fleet.store_away {
+        if unavailable && !control.fleet.store_unavailable {
             log::warn!("store lost: no successful call for {} ms", now.since(since));
         }
-        control.fleet.store(now, unavailable);
+        control.fleet.record_store_state(now, unavailable);
         self.reader.set_store_unavailable(unavailable);
     }
 
@@ -330,7 +330,7 @@
             Err(error) => {
                 if *error == StoreError::Full {
                     let now = self.now();
-                    self.control.borrow_mut().capacity.refused(now);
+                    self.control.borrow_mut().capacity.record_refusal(now);
                 }
                 self.meters.failed_appends.with_label_values(&[purpose, error.as_str()]).inc();
             }
@@ -342,7 +342,7 @@
     /// restarted; `address` is where it was before. The reducer moves its runs.
     pub fn reset_target(&self, control: &mut Control, id: &str, address: std::net::SocketAddr) {
         log::info!("target {id}, at {address}, has restarted");
-        control.observations.forget(id);
+        control.observations.reset(id);
         self.pool.forget(address);
     }
 
@@ -404,13 +404,13 @@
     pub fn account_for_read(&self, part: &Partition, read: &Records) {
         let bytes = |record: &Record| {
             (record.key.len() + record.value.as_ref().map_or(0, Bytes::len)) as u64
-                + room::LOG_OVERHEAD
+                + capacity::LOG_OVERHEAD
         };
         let written = read.records.iter().map(bytes).sum();
         let last = read.records.last().map_or(0, |record| record.offset + 1);
         let now = self.now();
         let mut control = self.control.borrow_mut();
-        control.other_logs.entry(part.clone()).or_default().note(now, last, written);
+        control.other_logs.entry(part.clone()).or_default().record(now, last, written);
     }
 
     /// Folds records of a job partition, skipping those folded before; `end` is
@@ -449,7 +449,7 @@
         };
         for job in deleted {
             log::info!("job {job} was deleted while the partition was not read here");
-            self.apply_change(part, Change::Dropped(job));
+            self.apply_change(part, Change::Deleted(job));
         }
     }
 
@@ -457,9 +457,9 @@
         match change {
             Change::Opened(job) => self.open_job(part, job),
             Change::Skipped(skip) => log::warn!("{skip}"),
-            Change::Listed(job, at) => self.handle_event(&Event::Listed(Slot { job, at })),
-            Change::Grown(job, at) => self.partial_text_grew(part, Slot { job, at }),
-            Change::Ended(job) | Change::Dropped(job) => {
+            Change::ResultStored(job, at) => self.handle_event(&Event::Listed(Slot { job, at })),
+            Change::PartialStored(job, at) => self.partial_text_grew(part, Slot { job, at }),
+            Change::Ended(job) | Change::Deleted(job) => {
                 self.close_job(&job);
                 ends::handle_event(self, &ending::Event::Settled(job));
             }
@@ -519,32 +519,32 @@
             let Some(job) = control.partitions[part].index.jobs.get(&id) else {
                 return;
             };
-            if job.ended || job.is_whole() || control.ending.holds(&id) {
+            if job.ended || job.is_complete() || control.ending.is_pending(&id) {
                 return;
             }
             let configuration = control.configuration.clone();
-            let route = configuration
-                .as_ref()
-                .and_then(|configuration| configuration.route(&job.head.host, &job.head.path));
-            let Some(route) = route.filter(|route| route.repeat == Repeat::Batch) else {
+            let route = configuration.as_ref().and_then(|configuration| {
+                configuration.route(&job.manifest.host, &job.manifest.path)
+            });
+            let Some(route) = route.filter(|route| route.kind == RouteKind::Batch) else {
                 control.unopened_jobs.push(id);
                 return;
             };
-            let keep_ms = batch::keep_for(route.keep_ms, job.head.at_ms, unix_ms());
-            let head = job.head.clone();
+            let keep_ms = batch::retention_left_ms(route.keep_ms, job.manifest.at_ms, unix_ms());
+            let head = job.manifest.clone();
             let mut work = Work {
                 job: id,
                 part,
                 pool: route.pools.first().map(|(pool, _)| pool.clone()).unwrap_or_default(),
-                model: job.head.model.clone(),
-                min_version: job.head.min_version,
+                model: job.manifest.model.clone(),
+                min_version: job.manifest.min_version,
                 attempts: route.attempts,
                 keep_until: self.now().after(keep_ms),
                 samples: vec![],
                 done: job.done.clone(),
             };
             let tokens = head.samples.iter().map(|sample| u64::from(sample.tokens)).sum();
-            control.models.asked(&head.model, tokens, head.samples.len() as u64);
+            control.models.record_step(&head.model, tokens, head.samples.len() as u64);
             work.samples = resume::items(&mut control.partitions, part, &work.job, &head);
             work
         };
--- a/crates/hollywell/src/entry/store.rs
+++ b/crates/hollywell/src/entry/store.rs
@@ -9,8 +9,8 @@
 
 use crate::core::{
     batch::Record,
+    capacity::{LIVE_OVERHEAD, LOG_OVERHEAD, Purpose},
     group::Listing,
-    room::{LIVE_OVERHEAD, LOG_OVERHEAD, Use},
 };
 
 /// A boxed future that need not be `Send`.
@@ -119,7 +119,7 @@
     /// Append only if the partition ends at this offset.
     pub expected_end: Option<u64>,
     /// What the records are for.
-    pub purpose: Use,
+    pub purpose: Purpose,
 }
 
 impl Append {
--- a/crates/hollywell/src/entry/suspects.rs
+++ b/crates/hollywell/src/entry/suspects.rs
@@ -12,10 +12,10 @@
 
 use crate::{
     core::{
+        capacity::Purpose,
         dispatch,
         fleet::Announcement,
         poison::{self, Digest, Verdict},
-        room::Use,
         time::Time,
     },
     entry::{
@@ -127,34 +127,34 @@
 pub fn probe_target(shared: &Shared, pool: &str, digest: Digest) -> ProbeTarget {
     let (now, control) = (shared.now(), shared.control.borrow());
     let since_ms = control.poison.since_end_ms(unix_ms(), digest).unwrap_or(u64::MAX);
-    let id = poison::trial(&healthy(&control, now, pool), since_ms);
+    let id = poison::probe_target(&healthy(&control, now, pool), since_ms);
     match id.and_then(|id| control.fleet.targets.get(id)) {
-        Some(target) => ProbeTarget::At(Box::new(target.said.clone())),
+        Some(target) => ProbeTarget::At(Box::new(target.announcement.clone())),
         None => ProbeTarget::Nowhere,
     }
 }
 
 /// A pool's targets without a recently broken exchange.
 fn healthy<'a>(control: &'a Control, now: Time, pool: &'a str) -> Vec<&'a str> {
-    let all = control.fleet.usable(pool).map(|target| target.said.id.as_str());
-    all.filter(|id| !control.observations.is_broken(now, id)).collect()
+    let all = control.fleet.usable(pool).map(|target| target.announcement.id.as_str());
+    all.filter(|id| !control.observations.has_failed_recently(now, id)).collect()
 }
 
 /// Whether a suspect last ended a target so long ago that a probe of it would
 /// run alone at its target.
 pub fn is_settled(shared: &Shared, digest: Digest) -> bool {
     let since_ms = shared.control.borrow().poison.since_end_ms(unix_ms(), digest);
-    since_ms.is_none_or(|since_ms| since_ms >= poison::SETTLE_MS)
+    since_ms.is_none_or(|since_ms| since_ms >= poison::PROBE_DELAY_MS)
 }
 
 /// The target of a pool that is kept free for isolated probes, while any may
 /// start soon.
 pub fn reserved_target(shared: &Shared, pool: &str) -> Option<String> {
     let (now, control) = (shared.now(), shared.control.borrow());
-    if !control.poison.is_trying(unix_ms()) {
+    if !control.poison.has_pending_probe(unix_ms()) {
         return None;
     }
-    poison::trial(&healthy(&control, now, pool), 0).map(str::to_owned)
+    poison::probe_target(&healthy(&control, now, pool), 0).map(str::to_owned)
 }
 
 /// Permit for an isolated probe of a suspect at a pool. One instance of all
@@ -182,7 +182,7 @@
         if self.expires {
             return;
         }
-        self.shared.probe_permits.borrow_mut().give_back(&self.subject, &self.request.who);
+        self.shared.probe_permits.borrow_mut().release(&self.subject, &self.request.who);
         let Some(issuer) = self.issuer.take() else {
             return;
         };
@@ -207,7 +207,7 @@
     let request =
         PermitRequest { pool: pool.to_owned(), who: shared.unique_key_part(), is_return: false };
     let now = shared.now();
-    if !shared.probe_permits.borrow_mut().take(now, &subject, &request.who) {
+    if !shared.probe_permits.borrow_mut().try_acquire(now, &subject, &request.who) {
         return None;
     }
     let body = Bytes::from(request.encode_to_vec());
@@ -231,10 +231,10 @@
     };
     let (now, mut permits) = (shared.now(), shared.probe_permits.borrow_mut());
     if is_return {
-        permits.give_back(&pool, &who);
+        permits.release(&pool, &who);
         return peers::empty_response(StatusCode::OK);
     }
-    let is_free = permits.take(now, &pool, &who);
+    let is_free = permits.try_acquire(now, &pool, &who);
     peers::empty_response(if is_free { StatusCode::OK } else { StatusCode::CONFLICT })
 }
 
@@ -250,12 +250,12 @@
     if !shared.pool.has_exited(target.address).await {
         return false;
     }
-    let life = target.life();
+    let life = target.incarnation();
     let (is_new, verdict) = {
         let mut control = shared.control.borrow_mut();
         let is_new = match is_alone {
-            true => control.poison.ended_alone(unix_ms(), digest, &life),
-            false => control.poison.ended(unix_ms(), digest, &life),
+            true => control.poison.record_isolated_end(unix_ms(), digest, &life),
+            false => control.poison.record_target_end(unix_ms(), digest, &life),
         };
         (is_new, control.poison.verdict(unix_ms(), digest))
     };
@@ -275,7 +275,7 @@
             return;
         }
         let digest = digest();
-        control.poison.served(digest).then_some(digest)
+        control.poison.record_answer(digest).then_some(digest)
     };
     if let Some(digest) = known {
         log::info!("{digest} was served: it is no longer suspected");
@@ -333,7 +333,7 @@
 async fn append(shared: &Shared, records: &[SuspectRecord]) -> Result<(), StoreError> {
     let encode = |record: &SuspectRecord| (Some(record.digest.clone()), record.record.clone());
     let records = records.iter().map(encode).collect();
-    let (part, purpose) = (Partition::new(TOPIC, 0), Use::Suspect);
+    let (part, purpose) = (Partition::new(TOPIC, 0), Purpose::Suspect);
     shared.append(Append { part, records, expected_end: None, purpose }).await.map(|_| ())
 }
 
@@ -366,7 +366,7 @@
     let mut control = shared.control.borrow_mut();
     let taken = key.parse::<Digest>().and_then(|digest| {
         if record.is_empty() {
-            control.poison.served(digest);
+            control.poison.record_answer(digest);
             return Ok(());
         }
         control.poison.read(unix_ms(), digest, record)
