--- a/crates/hollywell/src/core/dispatch/leave.rs
+++ b/crates/hollywell/src/core/dispatch/leave.rs
@@ -52,8 +52,8 @@
 const TARGET_COUNT_AGE_MS: u64 = 500;
 
 impl State {
-    /// Moves runs away from targets that are unresponsive, slow, draining or
-    /// gone, and gives up expired samples.
+    /// Moves runs away from targets that are unresponsive, slow, gone or
+    /// restarted, and gives up expired samples.
     pub(super) fn check_runs(
         &mut self,
         now: Time,
