--- a/crates/hollywell/src/entry/caller.rs
+++ b/crates/hollywell/src/entry/caller.rs
@@ -143,8 +143,8 @@
 ) -> Result<T, Kind> {
     let deadline = Instant::now() + CONFIGURATION_WAIT;
     loop {
-        let refreshed = shared.configured.notified();
-        let plan = shared.world.borrow().plan.clone().ok_or(Kind::StoreAway)?;
+        let refreshed = shared.configuration_read.notified();
+        let plan = shared.control.borrow().configuration.clone().ok_or(Kind::StoreAway)?;
         let current = is_current(shared);
         match identify(&plan) {
             Ok(identified) if !is_too_old(shared, &plan) => return Ok(identified),
--- a/crates/hollywell/src/entry/forward.rs
+++ b/crates/hollywell/src/entry/forward.rs
@@ -28,7 +28,7 @@
     entry::{
         exchange::{Error, IncomingResponse},
         shared::Shared,
-        suspects::{self, Trial},
+        suspects::{self, ProbeTarget},
         usage,
     },
     error::Kind,
@@ -115,14 +115,14 @@
     /// Counts the request as its organisation's usage when it is first sent.
     fn count_usage(&self, shared: &Shared) {
         if self.usage_window.get().is_none() {
-            self.usage_window.set(usage::begin(shared, &self.organisation));
+            self.usage_window.set(usage::count_request(shared, &self.organisation));
         }
     }
 
     /// Reverts [`Self::count_usage`].
     fn uncount_usage(&self, shared: &Shared) {
         if let Some(window) = self.usage_window.take() {
-            usage::undo(shared, window, &self.organisation);
+            usage::uncount_request(shared, window, &self.organisation);
         }
     }
 }
@@ -260,7 +260,7 @@
                     tokio::time::sleep(RETRY_DELAY).await;
                     continue;
                 }
-                let Some(permit) = suspects::turn(shared, pool).await else {
+                let Some(permit) = suspects::acquire_probe_permit(shared, pool).await else {
                     tokio::time::sleep(RETRY_DELAY).await;
                     continue;
                 };
@@ -268,12 +268,12 @@
                 if suspects::verdict(shared, || plain.digest()) != Verdict::Suspect {
                     continue;
                 }
-                match suspects::trial(shared, pool, plain.digest()) {
-                    Trial::At(target) if has_capacity(shared, &target) => {
+                match suspects::probe_target(shared, pool, plain.digest()) {
+                    ProbeTarget::At(target) if has_capacity(shared, &target) => {
                         (Some(*target), Some(permit))
                     }
-                    Trial::At(_) => (None, None),
-                    Trial::Nowhere => {
+                    ProbeTarget::At(_) => (None, None),
+                    ProbeTarget::Nowhere => {
                         state.retry_after_ms = Some(LAST_HEALTHY_RETRY_MS);
                         break;
                     }
@@ -281,7 +281,7 @@
             }
         };
         let Some(target) = target else {
-            if shared.world.borrow().stopping {
+            if shared.control.borrow().stopping {
                 break;
             }
             if let hold::Next::Reject(ms) = hold::next(observation(shared, route, salt, left_ms)) {
@@ -309,7 +309,7 @@
         }
         if let SendOutcome::Answered(_) = &sent {
             let took_ms = shared.now().since(now);
-            shared.world.borrow_mut().sights.answered(&target.id, took_ms);
+            shared.control.borrow_mut().observations.answered(&target.id, took_ms);
         }
         if let Some(response) = state.record(route, target.id, sent) {
             return ForwardResult::Answered(response);
@@ -331,12 +331,12 @@
 /// The state of a route's targets when none of them can take a request, as
 /// input to admission control.
 fn observation(shared: &Shared, route: &Route, salt: u64, left_ms: u64) -> hold::Sight {
-    let world = shared.world.borrow();
+    let control = shared.control.borrow();
     let pool = pick_pool(route, salt).unwrap_or("");
-    let usable = || world.fleet.usable(pool).map(|target| target.said.id.as_str());
-    let answers = usable().filter_map(|id| world.sights.of(id)?.answer_ms);
+    let usable = || control.fleet.usable(pool).map(|target| target.said.id.as_str());
+    let answers = usable().filter_map(|id| control.observations.of(id)?.answer_ms);
     let usual_ms = answers.min_by(f64::total_cmp).map(|ms| ms as u64);
-    hold::Sight { known: world.fleet_known, usable: usable().count(), usual_ms, left_ms }
+    hold::Sight { known: control.fleet_loaded, usable: usable().count(), usual_ms, left_ms }
 }
 
 fn attempt_timeout_ms(route: &Route) -> u64 {
@@ -349,24 +349,24 @@
     tried: &[String],
     salt: u64,
 ) -> Option<Announcement> {
-    let world = shared.world.borrow();
+    let control = shared.control.borrow();
     let pool = pick_pool(route, salt)?;
     let now = shared.now();
-    let all = || world.fleet.usable(pool).map(|target| &target.said);
-    let reserved = suspects::reserved(shared, pool);
+    let all = || control.fleet.usable(pool).map(|target| &target.said);
+    let reserved = suspects::reserved_target(shared, pool);
     let is_reserved = |target: &Announcement| reserved.as_ref() == Some(&target.id);
     let fresh = all().filter(|target| !tried.contains(&target.id) && !is_reserved(target));
     // Instances without any load figures must not all choose the same target.
-    let own = xxhash_rust::xxh3::xxh3_64(shared.me.as_bytes());
+    let own = xxhash_rust::xxh3::xxh3_64(shared.instance_id.as_bytes());
     let salt = own ^ salt.wrapping_add(tried.len() as u64);
     let need = Need { events: 1.0, most_load: MAX_LOAD, sharers: 1.0, salt };
-    let choice = world.sights.choose(now, fresh, need);
+    let choice = control.observations.choose(now, fresh, need);
     // If every target was tried or is avoided, retry one that was tried
     // before rather than let the deadline pass.
     let choice = choice.or_else(|| {
         let times = |target: &&Announcement| tried.iter().filter(|id| **id == target.id).count();
         let usable =
-            all().filter(|target| world.sights.load_of(now, &target.id) < capacity(target));
+            all().filter(|target| control.observations.load_of(now, &target.id) < capacity(target));
         usable.min_by_key(times)
     });
     choice.cloned()
@@ -374,8 +374,8 @@
 
 /// Whether a target is below its load limit.
 fn has_capacity(shared: &Shared, target: &Announcement) -> bool {
-    let world = shared.world.borrow();
-    world.sights.load_of(shared.now(), &target.id) < capacity(target)
+    let control = shared.control.borrow();
+    control.observations.load_of(shared.now(), &target.id) < capacity(target)
 }
 
 /// The number of requests at which a target counts as full.
@@ -414,16 +414,16 @@
 
 async fn send(shared: &Rc<Shared>, route: &Route, attempt: &SendAttempt<'_>) -> SendOutcome {
     let &SendAttempt { plain, target, limit_ms, left_ms, .. } = attempt;
-    shared.world.borrow_mut().sights.sent(&target.id);
+    shared.control.borrow_mut().observations.sent(&target.id);
     let _in_flight = InFlight { shared, id: &target.id };
     let limit = Duration::from_millis(limit_ms);
     let started = shared.now();
     let still_allowed = || {
-        let may_reach = shared.may_reach(target);
-        if may_reach {
+        let may_send_to = shared.may_send_to(target);
+        if may_send_to {
             plain.count_usage(shared);
         }
-        may_reach
+        may_send_to
     };
     let first = request(shared, plain, target, left_ms);
     let mut answer = shared.pool.send_if(target.address, first, limit, still_allowed).await;
@@ -457,7 +457,7 @@
             record_no_response(shared, plain, target, &error);
             if error != Error::StaleConnection {
                 let now = shared.now();
-                shared.world.borrow_mut().sights.broke(now, &target.id);
+                shared.control.borrow_mut().observations.broke(now, &target.id);
             }
             if error.is_not_sent() {
                 // The first send, on the stale connection, may have run.
@@ -487,7 +487,7 @@
 impl Drop for InFlight<'_> {
     fn drop(&mut self) {
         let now = self.shared.now();
-        self.shared.world.borrow_mut().sights.ended(now, self.id);
+        self.shared.control.borrow_mut().observations.ended(now, self.id);
     }
 }
 
@@ -501,13 +501,13 @@
     let names = &shared.codec.headers;
     let now = shared.now();
     if let Some(load) = answer.header(&names.load).and_then(shared.codec.load) {
-        shared.world.borrow_mut().sights.load(now, &target.id, load);
+        shared.control.borrow_mut().observations.load(now, &target.id, load);
     }
     let status = answer.head.status;
     let not_run = answer.head.headers.contains_key(&names.not_run)
         || status == StatusCode::MISDIRECTED_REQUEST;
     if not_run {
-        shared.world.borrow_mut().sights.full(now, &target.id);
+        shared.control.borrow_mut().observations.full(now, &target.id);
         log::debug!("request {} rejected by {} without running: {status}", plain.id, target.id);
         return SendOutcome::NotRun;
     }
@@ -529,8 +529,8 @@
             for name in HOP_BY_HOP.iter().chain([&header::CONTENT_LENGTH]) {
                 headers.remove(name);
             }
-            shared.world.borrow_mut().sights.sound(now, &target.id);
-            suspects::served(shared, || plain.digest());
+            shared.control.borrow_mut().observations.sound(now, &target.id);
+            suspects::record_served(shared, || plain.digest());
             SendOutcome::Answered(TargetResponse { status, headers, body })
         }
         Err(error) => {
@@ -558,10 +558,14 @@
 /// Checks whether the target exited during an attempt, and records that
 /// against the request if so.
 async fn check_exit(shared: &Rc<Shared>, attempt: &SendAttempt<'_>) -> bool {
-    let own =
-        shared.world.borrow().sights.of(&attempt.target.id).map(|observation| observation.mine);
+    let own = shared
+        .control
+        .borrow()
+        .observations
+        .of(&attempt.target.id)
+        .map(|observation| observation.mine);
     let is_alone = attempt.is_probe && own == Some(1);
-    suspects::look(shared, attempt.target, attempt.plain.digest(), is_alone).await
+    suspects::check_ended(shared, attempt.target, attempt.plain.digest(), is_alone).await
 }
 
 fn request(
--- a/crates/hollywell/src/entry/orders.rs
+++ b/crates/hollywell/src/entry/orders.rs
@@ -18,10 +18,10 @@
     },
     entry::{
         codec::VersionOrder,
+        hints::{self, Hint},
         lease::Lease,
-        news::{self, News},
-        shared::{Shared, World},
-        store::Part,
+        shared::{Control, Shared},
+        store::Partition,
     },
 };
 
@@ -31,22 +31,22 @@
 /// the time, and the store's rate is everybody's.
 const CANDIDATES: usize = 4;
 /// Time between looks at what is to be ordered.
-const TICK: Duration = Duration::from_millis(100);
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
 /// A look takes one part of the time in so many at most: it grows with the
 /// engines, and whoever looks serves callers too.
-const LOOK_PART: u32 = 5;
+const DUTY_CYCLE: u32 = 5;
 /// Time that one call to an engine may take.
-const CALL: Duration = Duration::from_millis(600);
+const CALL_TIMEOUT: Duration = Duration::from_millis(600);
 /// First look whether a load is done; it takes 0.9 s alone.
-const LOADED: Duration = Duration::from_millis(920);
+const FIRST_LOAD_CHECK: Duration = Duration::from_millis(920);
 /// Time between later looks.
-const LOADED_PAUSE: Duration = Duration::from_millis(300);
+const LOAD_CHECK_INTERVAL: Duration = Duration::from_millis(300);
 /// Later looks.
-const LOADED_LOOKS: u32 = 6;
+const LOAD_CHECKS: u32 = 6;
 /// Largest report.
-const REPORT_BYTES: usize = 1 << 20;
+const MAX_REPORT_BYTES: usize = 1 << 20;
 
-struct Office {
+struct OrderIssuer {
     lease: Rc<Lease>,
     roll: RefCell<roll::State>,
 }
@@ -56,60 +56,60 @@
 pub async fn serve(shared: Rc<Shared>) {
     let domain = shared.settings.domain.clone();
     let number = shared.settings.domains.iter().position(|name| *name == domain);
-    let part = Part::at(LEASES, number.unwrap_or_default());
+    let part = Partition::at(LEASES, number.unwrap_or_default());
     let lease = Lease::new(&shared, part, &domain);
-    tokio::task::spawn_local(lease.clone().keep(shared.clone(), is_candidate));
-    let office = Rc::new(Office { lease, roll: RefCell::default() });
-    let mut pause = TICK;
+    tokio::task::spawn_local(lease.clone().maintain(shared.clone(), is_candidate));
+    let issuer = Rc::new(OrderIssuer { lease, roll: RefCell::default() });
+    let mut interval = TICK_INTERVAL;
     loop {
-        sleep(pause).await;
+        sleep(interval).await;
         let started = Instant::now();
-        if !shared.world.borrow().stopping {
-            give(&shared, &office, &domain);
+        if !shared.control.borrow().stopping {
+            issue_orders(&shared, &issuer, &domain);
         }
-        pause = TICK.max(started.elapsed() * LOOK_PART);
+        interval = TICK_INTERVAL.max(started.elapsed() * DUTY_CYCLE);
     }
 }
 
 /// Whether this instance competes for its failure domain's lease.
 fn is_candidate(shared: &Shared) -> bool {
-    let world = shared.world.borrow();
-    let domain = roster::domain(&shared.me);
-    let all = roster::candidates(world.roster.members(), domain, LEASES, CANDIDATES);
+    let control = shared.control.borrow();
+    let domain = roster::domain(&shared.instance_id);
+    let all = roster::candidates(control.roster.members(), domain, LEASES, CANDIDATES);
     // Before the members are known, everybody does.
-    all.is_empty() || all.contains(&shared.me.as_str())
+    all.is_empty() || all.contains(&shared.instance_id.as_str())
 }
 
-fn give(shared: &Rc<Shared>, office: &Rc<Office>, domain: &str) {
+fn issue_orders(shared: &Rc<Shared>, issuer: &Rc<OrderIssuer>, domain: &str) {
     let now = shared.now();
-    if !office.lease.is_held() {
+    if !issuer.lease.is_held() {
         return;
     }
     {
-        let world = shared.world.borrow();
-        office.lease.want(roll::is_due(domain, &world.models, &world.fleet));
+        let control = shared.control.borrow();
+        issuer.lease.set_wanted(roll::is_due(domain, &control.models, &control.fleet));
     }
     // Orders may be given only if a call started now ends within the lease.
-    if office.lease.fence(shared, CALL).is_none() {
+    if issuer.lease.fencing_token(shared, CALL_TIMEOUT).is_none() {
         return;
     }
     let orders = {
-        let world = &mut *shared.world.borrow_mut();
-        world.models.steps = steps(world);
-        let mut roll = office.roll.borrow_mut();
-        roll.step(now, domain, &world.models, &world.fleet, &world.sights)
+        let control = &mut *shared.control.borrow_mut();
+        control.models.steps = open_steps(control);
+        let mut roll = issuer.roll.borrow_mut();
+        roll.step(now, domain, &control.models, &control.fleet, &control.observations)
     };
     for order in orders {
-        tokio::task::spawn_local(carry_out(shared.clone(), office.clone(), order));
+        tokio::task::spawn_local(execute(shared.clone(), issuer.clone(), order));
     }
 }
 
 /// The steps that are open, by model.
-fn steps(world: &World) -> BTreeMap<String, Vec<Step>> {
+fn open_steps(control: &Control) -> BTreeMap<String, Vec<Step>> {
     let mut steps: BTreeMap<String, Vec<Step>> = BTreeMap::new();
-    let jobs = world.shelves.iter().flat_map(|shelf| &shelf.book.jobs);
+    let jobs = control.partitions.iter().flat_map(|partition| &partition.index.jobs);
     for (id, job) in jobs {
-        if job.ended || job.is_whole() || world.ending.holds(id) {
+        if job.ended || job.is_whole() || control.ending.holds(id) {
             continue;
         }
         let samples = (job.done.len() - job.listed.len()) as u64;
@@ -119,29 +119,29 @@
     steps
 }
 
-async fn carry_out(shared: Rc<Shared>, office: Rc<Office>, order: Order) {
-    let Some(report) = report(&shared, &order.target).await else {
-        office.roll.borrow_mut().failed(&order.target);
+async fn execute(shared: Rc<Shared>, issuer: Rc<OrderIssuer>, order: Order) {
+    let Some(report) = fetch_report(&shared, &order.target).await else {
+        issuer.roll.borrow_mut().failed(&order.target);
         return;
     };
-    note(&shared, &order, &report);
+    apply_report(&shared, &order, &report);
     let has = report.versions.get(&order.model).copied();
     if has >= Some(order.version) {
         return;
     }
     if !report.busy {
-        let Some(fence) = office.lease.fence(&shared, CALL) else {
+        let Some(fence) = issuer.lease.fencing_token(&shared, CALL_TIMEOUT) else {
             return;
         };
-        let asked = VersionOrder {
+        let version_order = VersionOrder {
             model: order.model.clone(),
             version: order.version,
-            holder: shared.me.clone(),
+            holder: shared.instance_id.clone(),
             fence,
             expected: report.orders,
         };
-        let (path, body) = (shared.codec.order)(&asked);
-        office.lease.used(&shared);
+        let (path, body) = (shared.codec.order)(&version_order);
+        issuer.lease.record_use(&shared);
         let status = call(&shared, &order.target, http::Method::POST, path, body).await;
         let status = status.map(|(status, _)| status.as_u16());
         log::info!(
@@ -154,39 +154,39 @@
         if !matches!(status, Some(200 | 202)) {
             // An order without an answer may still be carried out: the next
             // report tells.
-            sleep(LOADED_PAUSE).await;
-            office.roll.borrow_mut().failed(&order.target);
+            sleep(LOAD_CHECK_INTERVAL).await;
+            issuer.roll.borrow_mut().failed(&order.target);
             return;
         }
     }
-    sleep(LOADED).await;
-    for _ in 0..LOADED_LOOKS {
-        if let Some(report) = self::report(&shared, &order.target).await {
-            note(&shared, &order, &report);
+    sleep(FIRST_LOAD_CHECK).await;
+    for _ in 0..LOAD_CHECKS {
+        if let Some(report) = fetch_report(&shared, &order.target).await {
+            apply_report(&shared, &order, &report);
             if report.versions.get(&order.model).copied() >= Some(order.version) {
-                news::tell(&shared, &News::Loaded(order)).await;
+                hints::publish(&shared, &Hint::Loaded(order)).await;
                 return;
             }
         }
-        sleep(LOADED_PAUSE).await;
+        sleep(LOAD_CHECK_INTERVAL).await;
     }
-    office.roll.borrow_mut().failed(&order.target);
+    issuer.roll.borrow_mut().failed(&order.target);
 }
 
-fn note(shared: &Shared, order: &Order, report: &crate::entry::codec::Report) {
-    let world = &mut *shared.world.borrow_mut();
-    if world.fleet.started(&order.target, report.born)
-        && let Some(address) = world.fleet.targets.get(&order.target).map(|t| t.said.address)
+fn apply_report(shared: &Shared, order: &Order, report: &crate::entry::codec::Report) {
+    let control = &mut *shared.control.borrow_mut();
+    if control.fleet.started(&order.target, report.born)
+        && let Some(address) = control.fleet.targets.get(&order.target).map(|t| t.said.address)
     {
-        shared.restarted(world, &order.target, address);
+        shared.reset_target(control, &order.target, address);
     }
-    let born = world.fleet.targets.get(&order.target).and_then(|target| target.said.born);
+    let born = control.fleet.targets.get(&order.target).and_then(|target| target.said.born);
     for (model, version) in &report.versions {
-        world.fleet.answered(&order.target, born, model, *version);
+        control.fleet.answered(&order.target, born, model, *version);
     }
 }
 
-async fn report(shared: &Rc<Shared>, target: &str) -> Option<crate::entry::codec::Report> {
+async fn fetch_report(shared: &Rc<Shared>, target: &str) -> Option<crate::entry::codec::Report> {
     let path = shared.codec.report_path;
     let (status, body) = call(shared, target, http::Method::GET, path, Bytes::new()).await?;
     if !status.is_success() {
@@ -209,8 +209,8 @@
     body: Bytes,
 ) -> Option<(http::StatusCode, Bytes)> {
     let address = {
-        let world = shared.world.borrow();
-        world.fleet.targets.get(target).map(|target| target.said.address)
+        let control = shared.control.borrow();
+        control.fleet.targets.get(target).map(|target| target.said.address)
     }?;
     let request = Request::builder()
         .method(method)
@@ -220,7 +220,7 @@
         .header(&shared.codec.headers.target, target)
         .body(Full::new(body))
         .ok()?;
-    let answer = match shared.pool.send(address, request, CALL).await {
+    let answer = match shared.pool.send(address, request, CALL_TIMEOUT).await {
         Ok(answer) => answer,
         Err(error) => {
             log::info!("call {path} to {target}: {error}");
@@ -228,6 +228,6 @@
         }
     };
     let status = answer.head.status;
-    let body = answer.read_body(REPORT_BYTES, CALL).await.ok()?;
+    let body = answer.read_body(MAX_REPORT_BYTES, CALL_TIMEOUT).await.ok()?;
     Some((status, body))
 }
--- a/crates/hollywell/src/entry/reader.rs
+++ b/crates/hollywell/src/entry/reader.rs
@@ -18,23 +18,23 @@
         group::Listing,
         patience::{self, Patience},
     },
-    entry::store::{Client, Fault, Limited, Newest, Page, Part, Read, Records},
+    entry::store::{Client, Newest, Page, Partition, Read, Records, StoreError, WithIdleTimeout},
 };
 
 /// Pages of newest records that an instance asks for at a time. Each is up
 /// to 1 MB, and all instances start together after an outage: with one each
 /// the store is kept busy, and nobody's answer waits behind seven of
 /// everybody's.
-const PAGES_AT_ONCE: usize = 1;
+const MAX_CONCURRENT_PAGES: usize = 1;
 
 /// What reads the store.
 #[derive(Debug)]
 pub struct Reader {
     store: Client,
-    patience: RefCell<Patience>,
+    timeout: RefCell<Patience>,
     pages: Semaphore,
-    instances: Cell<usize>,
-    away: Cell<bool>,
+    instance_count: Cell<usize>,
+    store_unavailable: Cell<bool>,
 }
 
 impl Reader {
@@ -43,23 +43,23 @@
     pub fn new(store: Client) -> Reader {
         Reader {
             store,
-            patience: RefCell::default(),
-            pages: Semaphore::new(PAGES_AT_ONCE),
-            instances: Cell::new(1),
-            away: Cell::new(false),
+            timeout: RefCell::default(),
+            pages: Semaphore::new(MAX_CONCURRENT_PAGES),
+            instance_count: Cell::new(1),
+            store_unavailable: Cell::new(false),
         }
     }
 
     /// Notes how many instances share the store.
-    pub fn shared_by(&self, instances: usize) {
-        self.instances.set(instances);
+    pub fn set_instance_count(&self, instances: usize) {
+        self.instance_count.set(instances);
     }
 
     /// Notes whether the store answers nobody here.
-    pub fn store_is_away(&self, away: bool) {
-        self.away.set(away);
-        if away {
-            self.patience.borrow_mut().away();
+    pub fn set_store_unavailable(&self, unavailable: bool) {
+        self.store_unavailable.set(unavailable);
+        if unavailable {
+            self.timeout.borrow_mut().away();
         }
     }
 
@@ -67,32 +67,38 @@
     ///
     /// # Errors
     ///
-    /// The store's [`Fault`].
-    pub async fn read(&self, read: Read) -> Result<Records, Fault> {
+    /// The store's [`StoreError`].
+    pub async fn read(&self, read: Read) -> Result<Records, StoreError> {
         let wait = read.wait;
-        self.limited(wait, |silence| (self.store.read)(Limited { read, silence })).await
+        self.call(wait, |idle_timeout| (self.store.read)(WithIdleTimeout { read, idle_timeout }))
+            .await
     }
 
     /// Reads the members of a group that hold a partition.
     ///
     /// # Errors
     ///
-    /// The store's [`Fault`].
-    pub async fn members(&self, group: String) -> Result<Listing, Fault> {
-        let members = |silence| (self.store.members)(Limited { read: group, silence });
-        self.limited(Duration::ZERO, members).await
+    /// The store's [`StoreError`].
+    pub async fn members(&self, group: String) -> Result<Listing, StoreError> {
+        let members =
+            |idle_timeout| (self.store.members)(WithIdleTimeout { read: group, idle_timeout });
+        self.call(Duration::ZERO, members).await
     }
 
     /// Reads a page of the newest record of each key, after a key.
     ///
     /// # Errors
     ///
-    /// The store's [`Fault`].
-    pub async fn newest(&self, part: &Part, after: Option<String>) -> Result<Page, Fault> {
+    /// The store's [`StoreError`].
+    pub async fn newest(
+        &self,
+        part: &Partition,
+        after: Option<String>,
+    ) -> Result<Page, StoreError> {
         let _turn = self.pages.acquire().await.ok();
         let read = (part.clone(), after);
-        let page = |silence| (self.store.newest)(Limited { read, silence });
-        self.limited(Duration::ZERO, page).await
+        let page = |idle_timeout| (self.store.newest)(WithIdleTimeout { read, idle_timeout });
+        self.call(Duration::ZERO, page).await
     }
 
     /// Reads on in all newest records of a partition, from where an earlier
@@ -102,8 +108,12 @@
     ///
     /// # Errors
     ///
-    /// A page's [`Fault`]; what was read so far stays in `newest`.
-    pub async fn newest_on(&self, part: &Part, newest: &mut Newest) -> Result<(), Fault> {
+    /// A page's [`StoreError`]; what was read so far stays in `newest`.
+    pub async fn resume_newest(
+        &self,
+        part: &Partition,
+        newest: &mut Newest,
+    ) -> Result<(), StoreError> {
         while !newest.is_done() {
             let page = self.newest(part, newest.after().cloned()).await?;
             newest.take(page);
@@ -114,30 +124,34 @@
     /// Pauses after a call that failed, the last of so many in a row: up
     /// to [`patience::pause_most_ms`], so that instances that failed together
     /// do not return together.
-    pub async fn pause(&self, failures: u32) {
-        let most = patience::pause_most_ms(failures, self.instances.get(), self.away.get());
+    pub async fn back_off(&self, failures: u32) {
+        let most = patience::pause_most_ms(
+            failures,
+            self.instance_count.get(),
+            self.store_unavailable.get(),
+        );
         sleep(Duration::from_millis(rand::random_range(0..=most))).await;
     }
 
     /// Makes a call with the silence that is borne now, and learns from it.
-    async fn limited<T>(
+    async fn call<T>(
         &self,
         wait: Duration,
-        call: impl FnOnce(Duration) -> crate::entry::store::LocalFuture<Result<T, Fault>>,
-    ) -> Result<T, Fault> {
-        let limit_ms = self.patience.borrow().limit_ms();
+        call: impl FnOnce(Duration) -> crate::entry::store::LocalFuture<Result<T, StoreError>>,
+    ) -> Result<T, StoreError> {
+        let limit_ms = self.timeout.borrow().limit_ms();
         let started = Instant::now();
         let answer = call(Duration::from_millis(limit_ms)).await;
         let took = started.elapsed();
-        let mut patience = self.patience.borrow_mut();
+        let mut timeout = self.timeout.borrow_mut();
         match &answer {
             // An answer that came before its time waited for a record: how
             // long it took beyond that is not known.
             Ok(_) if took >= wait => {
                 let beyond = took.saturating_sub(wait).as_millis();
-                patience.answered(u64::try_from(beyond).unwrap_or(u64::MAX));
+                timeout.answered(u64::try_from(beyond).unwrap_or(u64::MAX));
             }
-            Err(Fault::Silent) if !self.away.get() => patience.silent(limit_ms),
+            Err(StoreError::TimedOut) if !self.store_unavailable.get() => timeout.silent(limit_ms),
             _ => {}
         }
         answer
--- a/crates/hollywell/src/entry/run.rs
+++ b/crates/hollywell/src/entry/run.rs
@@ -24,7 +24,7 @@
         lines::EventSplitter,
         samples,
         shared::Shared,
-        suspects::{self, Trial},
+        suspects::{self, ProbeTarget},
         texts,
     },
 };
@@ -68,13 +68,13 @@
 /// Starts a run in a task of its own.
 pub fn start(shared: &Rc<Shared>, run: Run, slot: Slot, target: &str, priority: u8) {
     let announcement = {
-        let world = shared.world.borrow();
-        world.fleet.targets.get(target).map(|target| target.said.clone())
+        let control = shared.control.borrow();
+        control.fleet.targets.get(target).map(|target| target.said.clone())
     };
     let Some(announcement) = announcement else {
         let shared = shared.clone();
         tokio::task::spawn_local(async move {
-            shared.tell(&Event::Ended { run, end: End::Misdirected });
+            shared.handle_event(&Event::Ended { run, end: End::Misdirected });
         });
         return;
     };
@@ -82,22 +82,23 @@
         let shared = shared.clone();
         async move {
             let end = execute(&shared, run, &slot, &announcement, priority).await;
-            let events =
-                || shared.world.borrow().texts.get(&slot).map_or(0, |text| text.last_event);
+            let events = || {
+                shared.control.borrow().partial_texts.get(&slot).map_or(0, |text| text.last_event)
+            };
             let (job, at, id) = (&slot.job, slot.at, &announcement.id);
             log::debug!("sample {job}/{at} at {id}: {end:?}, {} events", events());
             shared.meters.runs.with_label_values(&[&format!("{end:?}")]).inc();
-            shared.world.borrow_mut().runs.remove(&run);
-            shared.tell(&Event::Ended { run, end });
+            shared.control.borrow_mut().runs.remove(&run);
+            shared.handle_event(&Event::Ended { run, end });
         }
     });
-    shared.world.borrow_mut().runs.insert(run, task.abort_handle());
+    shared.control.borrow_mut().runs.insert(run, task.abort_handle());
 }
 
 /// Loads the partial text that another instance, or an earlier run of this one,
 /// left in the store, if it is longer than the text in memory.
 async fn load_partial(shared: &Rc<Shared>, slot: &Slot) {
-    let part = shared.part_of(&slot.job);
+    let part = shared.partition_of(&slot.job);
     let Some(partial) = stored_partial(shared, part, slot) else {
         return;
     };
@@ -114,8 +115,8 @@
         log::error!("the partial text of {}/{} is not UTF-8", slot.job, slot.at);
         return;
     };
-    let mut world = shared.world.borrow_mut();
-    let in_memory = world.texts.get(slot).map_or(0, |text| text.last_event);
+    let mut control = shared.control.borrow_mut();
+    let in_memory = control.partial_texts.get(slot).map_or(0, |text| text.last_event);
     if partial.last > in_memory {
         // Records of an earlier job are deleted with that job, so the text has
         // to be stored again under this one.
@@ -130,17 +131,17 @@
             data,
             identity: Rc::default(),
         };
-        world.texts.insert(slot.clone(), text);
+        control.partial_texts.insert(slot.clone(), text);
     }
 }
 
 /// The partial text of a sample in the store, if it is longer than the text in
 /// memory and its versions are allowed.
 fn stored_partial(shared: &Shared, part: usize, slot: &Slot) -> Option<Partial> {
-    let world = shared.world.borrow();
-    let job = world.shelves[part].book.jobs.get(&slot.job)?;
+    let control = shared.control.borrow();
+    let job = control.partitions[part].index.jobs.get(&slot.job)?;
     let partial = job.partials.get(&slot.at)?;
-    let in_memory = world.texts.get(slot).map_or(0, |text| text.last_event);
+    let in_memory = control.partial_texts.get(slot).map_or(0, |text| text.last_event);
     let allowed = partial.is_allowed(job.head.min_version);
     (partial.last > in_memory && allowed).then(|| partial.clone())
 }
@@ -164,19 +165,22 @@
     // reported a crash under it.
     let is_held_back = match suspects::verdict(shared, || digest) {
         Verdict::Free => false,
-        Verdict::Suspect => suspects::trial(shared, &target.pool, digest) == Trial::Nowhere,
+        Verdict::Suspect => {
+            suspects::probe_target(shared, &target.pool, digest) == ProbeTarget::Nowhere
+        }
         Verdict::Held(_) => true,
     };
     if is_held_back {
         shared.meters.held_back.inc();
         return End::Held;
     }
-    let last_event = || shared.world.borrow().texts.get(slot).map_or(0, |text| text.last_event);
+    let last_event =
+        || shared.control.borrow().partial_texts.get(slot).map_or(0, |text| text.last_event);
     let last_before = last_event();
     let end = exchange(shared, run, slot, target, digest, request).await;
     // A sample that made progress is not the one that crashed its target.
     let may_have_ended = matches!(end, End::Broken | End::Stale) && last_event() == last_before;
-    if may_have_ended && suspects::look(shared, target, digest, false).await {
+    if may_have_ended && suspects::check_ended(shared, target, digest, false).await {
         return End::Broken;
     }
     end
@@ -184,8 +188,8 @@
 
 /// Identifies a sample's content across jobs, retries and instances.
 fn digest(shared: &Shared, slot: &Slot, sample: &Sample) -> Digest {
-    let world = shared.world.borrow();
-    let job = world.shelves[shared.part_of(&slot.job)].book.jobs.get(&slot.job);
+    let control = shared.control.borrow();
+    let job = control.partitions[shared.partition_of(&slot.job)].index.jobs.get(&slot.job);
     let (host, organisation) = job.map_or(("", ""), |job| (&job.head.host, &job.head.organisation));
     Digest::of(&["POST", host, &sample.path, organisation], &sample.body)
 }
@@ -198,7 +202,7 @@
     digest: Digest,
     request: Request<Full<Bytes>>,
 ) -> End {
-    let still_allowed = || shared.may_send(slot) && shared.may_reach(target);
+    let still_allowed = || shared.may_send(slot) && shared.may_send_to(target);
     let sent = shared.pool.send_if(target.address, request, RUN_TIMEOUT, still_allowed).await;
     let answer = match sent {
         Ok(answer) => answer,
@@ -212,7 +216,7 @@
     let headers = &shared.codec.headers;
     if let Some(load) = answer.header(&headers.load).and_then(shared.codec.load) {
         let now = shared.now();
-        shared.world.borrow_mut().sights.load(now, &target.id, load);
+        shared.control.borrow_mut().observations.load(now, &target.id, load);
     }
     match answer.head.status {
         StatusCode::OK => stream(shared, run, slot, target, digest, answer).await,
@@ -234,8 +238,8 @@
     target: &Announcement,
     priority: u8,
 ) -> Option<Request<Full<Bytes>>> {
-    let world = shared.world.borrow();
-    let job = world.shelves[shared.part_of(&slot.job)].book.jobs.get(&slot.job)?;
+    let control = shared.control.borrow();
+    let job = control.partitions[shared.partition_of(&slot.job)].index.jobs.get(&slot.job)?;
     let headers = &shared.codec.headers;
     let mut request = Request::post(sample.path.as_str())
         .header(http::header::HOST, job.head.host.as_str())
@@ -248,7 +252,7 @@
     for header in &sample.headers {
         request = request.header(header.name.as_str(), header.value.as_str());
     }
-    let last = world.texts.get(slot).map_or(0, |text| text.last_event);
+    let last = control.partial_texts.get(slot).map_or(0, |text| text.last_event);
     if last > 0 {
         request = request.header(&headers.last_event, HeaderValue::from(last));
     }
@@ -279,7 +283,7 @@
     /// Records that the target serves a version of the model.
     fn saw(&self, version: u64) {
         let Announcement { id, born, .. } = self.target;
-        self.shared.world.borrow_mut().fleet.answered(id, *born, &self.model, version);
+        self.shared.control.borrow_mut().fleet.answered(id, *born, &self.model, version);
     }
 
     /// Appends one complete event to the sample's text. `version` is the version
@@ -298,8 +302,8 @@
             return Err(End::WrongVersion);
         }
         {
-            let mut world = self.shared.world.borrow_mut();
-            let text = world.texts.entry(self.slot.clone()).or_default();
+            let mut control = self.shared.control.borrow_mut();
+            let text = control.partial_texts.entry(self.slot.clone()).or_default();
             if chunk.id != text.last_event + 1 {
                 return Err(
                     self.broken(&format!("event {} follows event {}", chunk.id, text.last_event))
@@ -307,8 +311,8 @@
             }
             text.append(&chunk, version);
         }
-        suspects::served(self.shared, || self.digest);
-        self.shared.tell(&Event::Piece { run: self.run });
+        suspects::record_served(self.shared, || self.digest);
+        self.shared.handle_event(&Event::Piece { run: self.run });
         Ok(())
     }
 }
@@ -322,8 +326,10 @@
     answer: IncomingResponse,
 ) -> End {
     let context = {
-        let world = shared.world.borrow();
-        let Some(job) = world.shelves[shared.part_of(&slot.job)].book.jobs.get(&slot.job) else {
+        let control = shared.control.borrow();
+        let Some(job) =
+            control.partitions[shared.partition_of(&slot.job)].index.jobs.get(&slot.job)
+        else {
             return End::Broken;
         };
         let (model, min_version) = (job.head.model.clone(), job.head.min_version);
@@ -351,7 +357,7 @@
     if version.is_some_and(|version| version < context.min_version) {
         return Err(End::WrongVersion);
     }
-    context.shared.tell(&Event::Head { run: context.run });
+    context.shared.handle_event(&Event::Head { run: context.run });
     let mut splitter = EventSplitter::default();
     while let Some(data) = answer.chunk().await.map_err(|error| context.broken(&error))? {
         splitter.push(&data);
@@ -362,8 +368,8 @@
     if !splitter.is_empty() {
         return Err(context.broken(&"the stream ends within an event"));
     }
-    let world = context.shared.world.borrow();
-    match world.texts.contains_key(context.slot) {
+    let control = context.shared.control.borrow();
+    match control.partial_texts.contains_key(context.slot) {
         true => Ok(()),
         false => Err(context.broken(&"the stream ends without any event")),
     }
