--- a/crates/hollywell/src/entry/jobs.rs
+++ b/crates/hollywell/src/entry/jobs.rs
@@ -116,7 +116,7 @@
     }
     // Samples are stored first. Whatever happens to this append, the job does
     // not exist, and nothing runs, until its metadata is stored.
-    let (samples, bundles) = match samples::put(shared, job, decoded).await {
+    let (samples, bundles) = match samples::store_submission(shared, job, decoded).await {
         Ok(stored) => stored,
         Err(StoreError::Full) => return store_full(shared, job, STORE_FULL_RETRY_MS),
         Err(fault) => {
--- a/crates/hollywell/src/entry/lines.rs
+++ b/crates/hollywell/src/entry/lines.rs
@@ -1,7 +1,7 @@
-//! Cuts a byte stream into events: blocks of lines that end with a blank
-//! line. What an event's lines say is the codec's business.
+//! Splits a byte stream into events: blocks of lines that end with a blank line.
+//! The lines of an event are decoded by [`crate::entry::codec`].
 
-/// Bytes that do not make a whole event yet.
+/// Splits a byte stream into events.
 ///
 /// # Example
 ///
@@ -11,10 +11,10 @@
 /// let mut splitter = EventSplitter::default();
 /// splitter.push(b"id: 1\ndata: a\n");
 /// assert_eq!(splitter.next_event(), None);
-/// // The blank line may come in a piece of its own.
+/// // The blank line may arrive in a chunk of its own.
 /// splitter.push(b"\nid: 2");
 /// assert_eq!(splitter.next_event().unwrap(), b"id: 1\ndata: a");
-/// // What is left is an event that was cut short.
+/// // The rest is an incomplete event.
 /// assert!(!splitter.is_empty());
 /// ```
 #[derive(Debug, Default)]
@@ -23,13 +23,12 @@
 }
 
 impl EventSplitter {
-    /// Takes bytes in.
+    /// Appends received bytes.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// The next whole event, without its blank line.
-    #[allow(clippy::should_implement_trait)]
+    /// Removes and returns the next complete event, without its blank line.
     pub fn next_event(&mut self) -> Option<Vec<u8>> {
         let end = self.buffer.windows(2).position(|pair| pair == b"\n\n")?;
         let rest = self.buffer.split_off(end + 2);
@@ -38,7 +37,7 @@
         Some(event)
     }
 
-    /// Whether nothing is left over.
+    /// Whether no incomplete event remains.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.buffer.is_empty()
--- a/crates/hollywell/src/entry/meters.rs
+++ b/crates/hollywell/src/entry/meters.rs
@@ -1,77 +1,76 @@
-//! What an entry instance on a platform counts and times, in the Prometheus
-//! exposition format.
+//! Metrics of an entry instance on a platform, in the Prometheus exposition
+//! format.
 
 use prometheus::{
     Encoder as _, HistogramOpts, HistogramVec, IntCounter, IntCounterVec, IntGauge, Opts, Registry,
     TextEncoder,
 };
 
-/// Bounds of answer times, in seconds.
+/// Bucket bounds of response times, in seconds.
 const ANSWER_SECONDS: [f64; 11] = [0.005, 0.01, 0.025, 0.05, 0.1, 0.15, 0.4, 1.0, 2.0, 5.0, 10.0];
 
-/// All meters of one instance.
+/// All metrics of one instance.
 #[derive(Clone, Debug)]
 pub struct Meters {
     registry: Registry,
-    /// Answers to callers, by what was asked and the status.
+    /// Responses to callers, by operation and status.
     pub answers: IntCounterVec,
-    /// Time from a request's arrival to its answer, by what was asked.
+    /// Time from a request's arrival to its response, by operation.
     pub answer_seconds: HistogramVec,
-    /// Ends of samples' runs, by how.
+    /// Finished runs of samples, by how they ended.
     pub runs: IntCounterVec,
-    /// Runs that left their target, by why.
+    /// Runs that were moved away from their target, by reason.
     pub moves: IntCounterVec,
-    /// Calls of the store, by whether they went well.
+    /// Calls of the store, by success.
     pub store_calls: IntCounterVec,
-    /// Bytes of keys and values appended, by what for.
+    /// Bytes of keys and values appended to the store, by purpose.
     pub appended_bytes: IntCounterVec,
-    /// Appends that failed, by what for and why.
+    /// Failed appends, by purpose and reason.
     pub failed_appends: IntCounterVec,
-    /// Sends of plain requests that got no answer, by why.
+    /// Attempts at plain requests that got no response, by reason.
     pub unanswered: IntCounterVec,
-    /// Targets that ended while a request of this instance was there.
+    /// Targets that exited while they had a request of this instance.
     pub targets_ended: IntCounter,
-    /// Requests that were held back from all targets.
+    /// Requests that were held back from all targets as poison.
     pub held_back: IntCounter,
-    /// Records of suspects that could not be read.
+    /// Records of suspects that could not be decoded.
     pub suspects_skipped: IntCounter,
-    /// Reports of usage, by what they were answered.
+    /// Usage reports, by the platform's response.
     pub reports: IntCounterVec,
-    /// The newest window of usage that this instance reported.
+    /// The newest usage window that this instance reported.
     pub reported_window: IntGauge,
-    /// Records of usage that could not be understood.
+    /// Records of usage that could not be decoded.
     pub usage_skipped: IntCounter,
-    /// Records of the operator that could not be understood.
+    /// Records of the operator that could not be decoded.
     pub commands_skipped: IntCounter,
-    /// Requests of callers that are not known, by why.
+    /// Requests that failed authentication, by reason.
     pub unauthenticated: IntCounterVec,
-    /// Entries of targets that could not be understood.
+    /// Announcements of targets that could not be decoded.
     pub announcements_skipped: IntCounter,
-    /// Bytes in the store, as far as is known.
+    /// Bytes used in the store, as far as known.
     pub store_used_bytes: IntGauge,
-    /// Jobs rejected for lack of room in the store.
+    /// Jobs rejected because the store was full.
     pub jobs_without_space: IntGauge,
-    /// Jobs accepted here of which nothing was known to have begun in time, by
-    /// why.
+    /// Jobs accepted by this instance that had not started in time, by reason.
     pub unstarted_jobs: IntCounterVec,
-    /// Connections opened.
+    /// Connections opened to targets and peers.
     pub connections_opened: IntGauge,
     /// Runs in flight.
     pub in_flight: IntGauge,
-    /// Version of the configuration in force.
+    /// The version of the configuration in force.
     pub configuration_version: IntGauge,
-    /// Live instances known.
+    /// Number of live instances.
     pub members: IntGauge,
-    /// 1 while the instance takes callers.
+    /// 1 while the instance is ready.
     pub ready: IntGauge,
 }
 
 impl Meters {
-    /// Registers all meters.
+    /// Creates and registers all metrics.
     ///
     /// # Errors
     ///
-    /// If two meters have one name, which a test would show.
+    /// If two metrics have the same name, which any test would reveal.
     pub fn new() -> prometheus::Result<Meters> {
         let registry = Registry::new();
         let counter = |name: &str, help: &str, labels: &[&str]| {
@@ -179,11 +178,11 @@
         })
     }
 
-    /// All meters as text.
+    /// All metrics in the text exposition format.
     ///
     /// # Errors
     ///
-    /// If the text cannot be written.
+    /// If encoding fails.
     pub fn text(&self) -> prometheus::Result<Vec<u8>> {
         let mut text = Vec::new();
         TextEncoder::new().encode(&self.registry.gather(), &mut text)?;
--- a/crates/hollywell/src/entry/mod.rs
+++ b/crates/hollywell/src/entry/mod.rs
@@ -1,16 +1,17 @@
-//! An entry instance on a platform whose store is a log with keyed topics.
+//! An entry instance on a platform whose store consists of logs with keyed
+//! topics.
 //!
 //! The platform's names and formats come in through a [`codec::Codec`]
-//! and a [`store::Client`], both plain structs of closures that an adapter
-//! fills in; nothing here knows how anything is spelled. Decisions are taken
+//! and a [`store::Client`], both plain structs of functions that an adapter
+//! provides; nothing here depends on the platform's formats. Decisions are taken
 //! in [`crate::core`]: [`crate::core::dispatch`] (what runs where),
-//! [`crate::core::batch`] (what is listed), [`crate::core::roll`] (weights).
-//! Modules here carry those decisions out.
+//! [`crate::core::batch`] (jobs and their results), [`crate::core::roll`] (weights).
+//! The modules here perform the I/O.
 //!
-//! Everything runs on one thread, control state and traffic alike. The
-//! project's rule is a control thread beside traffic threads; on a machine
-//! with half a core a second thread only adds a wake-up to every decision,
-//! and wake-ups are what such a machine pays for.
+//! Control state and traffic share a single thread. Elsewhere in this project a
+//! control thread runs next to traffic threads, but on a machine with half a
+//! core a second thread only adds a wake-up to every decision, and wake-ups
+//! dominate the cost there.
 
 pub mod caller;
 pub mod capacity;
--- a/crates/hollywell/src/entry/reload.rs
+++ b/crates/hollywell/src/entry/reload.rs
@@ -1,8 +1,8 @@
-//! Settings that change while the instance runs.
+//! Reloads the settings while the instance runs.
 //!
-//! The level of log lines takes effect at once. Addresses, the store and
-//! times take effect at the next start: open connections and leases rest on
-//! them. A file that is faulty changes nothing.
+//! A new log level takes effect at once. All other settings take effect at the
+//! next start, because open connections and leases depend on them. A file with
+//! faults changes nothing.
 
 use std::{path::PathBuf, rc::Rc, time::Duration};
 
@@ -13,31 +13,32 @@
 
 use crate::entry::{settings::Settings, shared::Shared};
 
-/// Time between looks at the file, which may change without a signal.
-const LOOK: Duration = Duration::from_secs(5);
+/// Time between checks of the file, which may change without a signal.
+const CHECK_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Watches the settings file, at each SIGHUP at once.
+/// Watches the settings file: at regular intervals, and at once on SIGHUP.
 pub async fn serve(shared: Rc<Shared>, path: PathBuf) {
     let mut hangup = match signal(SignalKind::hangup()) {
         Ok(hangup) => hangup,
         Err(error) => {
-            log::error!("SIGHUP cannot be handled: {error}");
+            log::error!("failed to install the handler for SIGHUP: {error}");
             return;
         }
     };
-    let mut in_force = shared.settings.clone();
+    let mut current = shared.settings.clone();
     loop {
         tokio::select! {
             _ = hangup.recv() => log::info!("SIGHUP: reading {}", path.display()),
-            () = sleep(LOOK) => {}
+            () = sleep(CHECK_INTERVAL) => {}
         }
         match Settings::load(&path) {
-            Ok(read) if read != in_force => {
+            Ok(read) if read != current => {
                 log::set_max_level(read.level);
-                let rest = Settings { level: in_force.level, ..read.clone() };
-                let later = if rest == in_force { "" } else { "; the rest at the next start" };
-                log::info!("settings changed: level {} is in force{later}", read.level);
-                in_force = read;
+                let with_current_level = Settings { level: current.level, ..read.clone() };
+                let suffix =
+                    if with_current_level == current { "" } else { "; the rest at the next start" };
+                log::info!("settings changed: level {} is in force{suffix}", read.level);
+                current = read;
             }
             Ok(_) => {}
             Err(faults) => {
--- a/crates/hollywell/src/entry/resume.rs
+++ b/crates/hollywell/src/entry/resume.rs
@@ -1,7 +1,8 @@
-//! Samples that an earlier step asked for and a later one asks for again.
+//! Resumes samples that an earlier step requested and a later one requests
+//! again.
 //!
-//! The trainer waits for all of them, so they go first, and what was
-//! generated of their text is used where its versions still fit.
+//! The trainer waits for all of them, so they run first. The partial text of an
+//! earlier step is reused if the versions that generated it are still allowed.
 
 use crate::{
     core::{
@@ -11,17 +12,17 @@
     entry::shared::JobPartition,
 };
 
-/// Steps after which unfinished texts are of no use: trainers ask again at
-/// once or not at all.
-const STEPS: u64 = 3;
+/// Steps after which partial texts are discarded: trainers request a sample
+/// again in the next step or not at all.
+const MAX_STEPS: u64 = 3;
 
-/// The samples of a job that is opened, as they are run. Unfinished texts of
-/// earlier steps are handed to the job; old ones are dropped.
+/// The work items of a job that is opened. Moves partial texts of earlier steps
+/// to the job and discards outdated ones.
 pub fn items(partitions: &mut [JobPartition], part: usize, job: &str, head: &Head) -> Vec<Item> {
-    forget(partitions, head);
+    discard_outdated(partitions, head);
     let mut items = Vec::new();
     for (at, sample) in head.samples.iter().enumerate() {
-        let earlier = earlier(partitions, job, &sample.id);
+        let earlier = find_earlier(partitions, job, &sample.id);
         let carried = earlier.is_some();
         let text = earlier.flatten().filter(|text| text.is_allowed(head.min_version));
         if let (Some(text), Some(job)) = (text, partitions[part].index.jobs.get_mut(job))
@@ -35,8 +36,8 @@
     items
 }
 
-/// Whether another job has the sample, and what is kept of its text there.
-fn earlier(partitions: &[JobPartition], job: &str, sample: &str) -> Option<Option<Partial>> {
+/// Finds a sample in other jobs; with its partial text there, if any.
+fn find_earlier(partitions: &[JobPartition], job: &str, sample: &str) -> Option<Option<Partial>> {
     let jobs = partitions.iter().flat_map(|partition| &partition.index.jobs);
     let mut found = None;
     for (_, other) in jobs.filter(|(id, _)| *id != job) {
@@ -48,11 +49,11 @@
     found
 }
 
-fn forget(partitions: &mut [JobPartition], head: &Head) {
+fn discard_outdated(partitions: &mut [JobPartition], head: &Head) {
     let jobs = partitions.iter_mut().flat_map(|partition| partition.index.jobs.values_mut());
     for job in jobs {
-        let old = job.head.model == head.model && job.head.step + STEPS < head.step;
-        if old {
+        let is_outdated = job.head.model == head.model && job.head.step + MAX_STEPS < head.step;
+        if is_outdated {
             job.partials.clear();
         }
     }
--- a/crates/hollywell/src/entry/samples.rs
+++ b/crates/hollywell/src/entry/samples.rs
@@ -1,5 +1,5 @@
-//! The requests of samples: kept in the store in bundles, read by whoever
-//! runs one of them.
+//! The requests of samples. They are stored in bundles and read by the instance
+//! that runs a sample.
 
 use std::{rc::Rc, time::Duration};
 
@@ -20,12 +20,12 @@
     },
 };
 
-/// Appends of one bundle where the store does not answer.
-const TRIES: u32 = 3;
-/// Longest time that reading a bundle may take.
-const READ: Duration = Duration::from_secs(2);
+/// Attempts to append bundles if the outcome of an append is unknown.
+const MAX_ATTEMPTS: u32 = 3;
+/// Time-out for reading a bundle.
+const READ_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// A sample's request, read from the store if it is not known.
+/// The request of a sample, read from the store if it is not in memory.
 pub async fn get(shared: &Rc<Shared>, slot: &Slot) -> Option<Sample> {
     let part = shared.partition_of(&slot.job);
     let (bundle, at, text) = {
@@ -33,33 +33,41 @@
         let head = &control.partitions[part].index.jobs.get(&slot.job)?.head;
         let brief = head.samples.get(slot.at)?;
         let (bundle, at) = (brief.bundle as usize, brief.at as usize);
-        let known = control.bundles.get(&(slot.job.clone(), bundle));
-        if let Some(bundle) = known {
+        let cached = control.bundles.get(&(slot.job.clone(), bundle));
+        if let Some(bundle) = cached {
             return bundle.samples.get(at).cloned();
         }
         (bundle, at, head.bundles.get(bundle)?.clone())
     };
-    let read = timeout(READ, texts::fetch(shared, std::slice::from_ref(&text))).await;
+    let read = timeout(READ_TIMEOUT, texts::fetch(shared, std::slice::from_ref(&text))).await;
     let bytes = match read {
         Ok(Ok(mut texts)) => texts.pop()?,
         Ok(Err(fault)) => {
-            log::info!("samples of job {} at {}: {fault}", slot.job, text.offset);
+            log::info!(
+                "failed to read samples of job {} at offset {}: {fault}",
+                slot.job,
+                text.offset
+            );
             return None;
         }
         Err(_) => {
-            log::info!("samples of job {} at {}: no answer in time", slot.job, text.offset);
+            log::info!("reading samples of job {} at offset {} timed out", slot.job, text.offset);
             return None;
         }
     };
     let decoded = match Bundle::decode(bytes) {
         Ok(decoded) => Rc::new(decoded),
         Err(error) => {
-            log::error!("samples of job {} at {}: {error}", slot.job, text.offset);
+            log::error!(
+                "failed to decode samples of job {} at offset {}: {error}",
+                slot.job,
+                text.offset
+            );
             return None;
         }
     };
     let control = &mut *shared.control.borrow_mut();
-    // A job that was ended meanwhile is not remembered.
+    // Don't cache the samples of a job that ended in the meantime.
     let open = control.partitions[part].index.jobs.get(&slot.job).is_some_and(|job| !job.ended)
         && !control.ending.holds(&slot.job);
     if open {
@@ -68,12 +76,14 @@
     decoded.samples.get(at).cloned()
 }
 
-/// Brings a submission's samples to the store; where each lies.
+/// Stores the samples of a submission. Returns a summary of each sample and the
+/// references to their bundles.
 ///
 /// # Errors
 ///
-/// The store's [`StoreError`]. Whatever it did, no job is kept by this.
-pub async fn put(
+/// The store's [`StoreError`]. This never creates the job, whatever was
+/// appended.
+pub async fn store_submission(
     shared: &Rc<Shared>,
     job: &str,
     submission: &Submission,
@@ -83,7 +93,8 @@
     let (briefs, bundles) = batch::bundle(submission, store.record_bytes / 2);
     let keys: Vec<String> =
         bundles.iter().map(|_| batch::bundle_key(job, &shared.unique_key_part())).collect();
-    // Should the caller leave, or the job be refused, nothing names them.
+    // If the caller disconnects or the job is refused, no record references
+    // them, and they have to be deleted.
     shared.orphans.requests(shared.now(), part, job, keys.iter().cloned());
     let part = u32::try_from(part).unwrap_or_default();
     let mut refs = Vec::new();
@@ -115,15 +126,15 @@
     let part = Partition::new(TEXTS, number);
     let purpose = Use::Requests;
     let append = Append { part, records: records.clone(), expected_end: None, purpose };
-    let mut tries = 1;
+    let mut attempts = 1;
     let first = loop {
         match shared.append(append.clone()).await {
             Ok(appended) => break appended.offset,
-            // Records that were appended twice lie there twice; nothing but
-            // the head names them.
-            Err(StoreError::OutcomeUnknown(why)) if tries < TRIES => {
-                log::info!("samples are appended again: {why}");
-                tries += 1;
+            // A record that was appended twice does no harm: only the job's
+            // metadata references one of the copies.
+            Err(StoreError::OutcomeUnknown(why)) if attempts < MAX_ATTEMPTS => {
+                log::info!("outcome of appending samples is unknown, retrying: {why}");
+                attempts += 1;
             }
             Err(fault) => return Err(fault),
         }
--- a/crates/hollywell/src/entry/serve.rs
+++ b/crates/hollywell/src/entry/serve.rs
@@ -1,4 +1,4 @@
-//! One entry instance on a platform, from its settings to its end.
+//! Runs an entry instance on a platform, from start to shutdown.
 
 use std::{
     cell::{Cell, RefCell},
@@ -43,35 +43,37 @@
     },
 };
 
-/// Time between ticks of the reducer: how late a silent stream is noticed.
+/// Time between ticks of the reducer, which bounds how late a stalled stream is
+/// detected.
 const TICK: Duration = Duration::from_millis(50);
-/// Time between looks for texts that have grown.
-const SAVE: Duration = Duration::from_millis(200);
-/// Events by which a text has grown when it is kept: half of all samples are
-/// whole before that, and what is lost with an instance is half a second's
-/// work. With 16, steps that lost an instance ended 0.3 s later.
+/// Time between saves of partial texts.
+const SAVE_INTERVAL: Duration = Duration::from_millis(200);
+/// Number of new events after which a text is saved. Half of all samples are
+/// complete before that, and a crash of an instance loses half a second of
+/// work. With 16 events, steps during which an instance was lost ended 0.3 s
+/// later.
 const SAVE_EVENTS: u64 = 10;
-/// Time between sweeps of kept connections.
-const SWEEP: Duration = Duration::from_millis(1_000);
-/// Share of the grace after which a stopping instance exits whatever is
-/// still open.
-const GRACE_SHARE: f64 = 0.9;
-/// Time for the balancer to see that a stopping instance is not ready: two
-/// questions, one a second, and what crosses them.
-const DRAIN: Duration = Duration::from_millis(2_300);
+/// Time between sweeps of idle connections.
+const SWEEP_INTERVAL: Duration = Duration::from_millis(1_000);
+/// Fraction of the grace period after which a stopping instance exits even if
+/// requests are still open.
+const GRACE_FRACTION: f64 = 0.9;
+/// Time for the load balancer to see that a stopping instance is not ready: two
+/// health checks, one per second, and the requests that overlap with them.
+const DRAIN_TIME: Duration = Duration::from_millis(2_300);
 
-/// What an adapter brings.
+/// What an adapter provides for its platform.
 #[derive(Clone, Copy, Debug)]
 pub struct Adapter {
-    /// How the platform spells things.
+    /// The platform's names and formats.
     pub codec: fn() -> Codec,
-    /// The store's client, over the given connections.
+    /// Creates the store's client, which uses the given connection pool.
     pub store: fn(Rc<Pool>, &Store) -> Client,
-    /// Where the platform put the settings file.
+    /// The path at which the platform put the settings file.
     pub settings_path: fn() -> Option<std::path::PathBuf>,
 }
 
-/// Runs an instance until it is asked to stop.
+/// Runs an instance until it is told to stop.
 ///
 /// # Errors
 ///
@@ -85,7 +87,7 @@
     LocalSet::new().block_on(&runtime, serve(adapter, settings, path))
 }
 
-fn share(adapter: &Adapter, settings: Settings) -> prometheus::Result<Rc<Shared>> {
+fn new_shared(adapter: &Adapter, settings: Settings) -> prometheus::Result<Rc<Shared>> {
     let incarnation = crate::entry::shared::unix_ms();
     let domain = settings.domains.iter().position(|name| *name == settings.domain);
     let link = Some(settings.link_mbps).filter(|mbps| *mbps > 0);
@@ -154,9 +156,9 @@
     settings: Settings,
     path: &Path,
 ) -> Result<(), Box<dyn std::error::Error>> {
-    let shared = share(adapter, settings)?;
+    let shared = new_shared(adapter, settings)?;
     let settings = &shared.settings;
-    let front = TcpListener::bind(settings.listen).await?;
+    let callers = TcpListener::bind(settings.listen).await?;
     let ready = TcpListener::bind(settings.ready_listen).await?;
     let metrics = TcpListener::bind(settings.metrics_listen).await?;
     let peer_listener = TcpListener::bind(settings.peer_listen).await?;
@@ -168,8 +170,8 @@
     );
     let open = Rc::new(ingress::OpenRequests::default());
     let spawn = tokio::task::spawn_local::<std::pin::Pin<Box<dyn Future<Output = ()>>>>;
-    // In the order in which they are read from the store at a start: what is
-    // small and needed for every request before the jobs.
+    // In the order in which a starting instance reads from the store: data that
+    // is small and needed for every request before the jobs.
     spawn(Box::pin(follow::commands(shared.clone())));
     spawn(Box::pin(configuration::serve(shared.clone())));
     spawn(Box::pin(follow::targets(shared.clone())));
@@ -191,9 +193,9 @@
     spawn(Box::pin(reload::serve(shared.clone(), path.to_owned())));
     spawn(Box::pin(tick(shared.clone())));
     spawn(Box::pin(save(shared.clone())));
-    spawn(Box::pin(answer_always(shared.clone(), ready, ingress::ready)));
-    spawn(Box::pin(answer_always(shared.clone(), metrics, ingress::metrics)));
-    spawn(Box::pin(ingress::serve(shared.clone(), front, open.clone())));
+    spawn(Box::pin(serve_constant(shared.clone(), ready, ingress::ready)));
+    spawn(Box::pin(serve_constant(shared.clone(), metrics, ingress::metrics)));
+    spawn(Box::pin(ingress::serve(shared.clone(), callers, open.clone())));
     crate::serve::asked_to_stop().await?;
     stop(&shared, &open).await;
     Ok(())
@@ -201,7 +203,8 @@
 
 async fn stop(shared: &Rc<Shared>, open: &ingress::OpenRequests) {
     log::info!("stopping: {} requests open", open.count());
-    let end = tokio::time::Instant::now() + shared.settings.times.grace.mul_f64(GRACE_SHARE);
+    let deadline =
+        tokio::time::Instant::now() + shared.settings.times.grace.mul_f64(GRACE_FRACTION);
     {
         let mut control = shared.control.borrow_mut();
         control.stopping = true;
@@ -210,12 +213,13 @@
     shared.stop.send_replace(true);
     outbox::save_partials(shared, 1).await;
     if let Err(fault) = member::leave(shared).await {
-        log::warn!("leaving the group: {fault}");
+        log::warn!("failed to leave the group: {fault}");
     }
-    let drained = tokio::time::Instant::now() + DRAIN;
-    while tokio::time::Instant::now() < end {
-        // Samples in flight go on elsewhere after what was kept of them.
-        if open.count() == 0 && tokio::time::Instant::now() >= drained {
+    let drain_deadline = tokio::time::Instant::now() + DRAIN_TIME;
+    while tokio::time::Instant::now() < deadline {
+        // Doesn't wait for samples in flight: other instances resume them from
+        // their saved texts.
+        if open.count() == 0 && tokio::time::Instant::now() >= drain_deadline {
             break;
         }
         tokio::time::sleep(Duration::from_millis(50)).await;
@@ -224,14 +228,14 @@
 }
 
 async fn tick(shared: Rc<Shared>) {
-    let mut swept = tokio::time::Instant::now();
+    let mut last_sweep = tokio::time::Instant::now();
     loop {
         tokio::time::sleep(TICK).await;
         let now = shared.now();
         shared.control.borrow_mut().fleet.expire(now);
         shared.handle_event(&dispatch::Event::Tick);
-        if swept.elapsed() > SWEEP {
-            swept = tokio::time::Instant::now();
+        if last_sweep.elapsed() > SWEEP_INTERVAL {
+            last_sweep = tokio::time::Instant::now();
             shared.pool.sweep();
             shared.relay.expire(now);
             suspects::expire(&shared);
@@ -239,18 +243,18 @@
     }
 }
 
-/// Keeps the texts of long samples in the store, so that whoever takes them
-/// over does not begin anew.
+/// Regularly saves the texts of long samples to the store, so that another
+/// instance that takes them over can resume.
 async fn save(shared: Rc<Shared>) {
     loop {
-        tokio::time::sleep(SAVE).await;
+        tokio::time::sleep(SAVE_INTERVAL).await;
         outbox::save_partials(&shared, SAVE_EVENTS).await;
     }
 }
 
-/// Gives the same answer to whatever is asked at a listener: whether the
-/// instance takes callers, or its metrics.
-async fn answer_always(
+/// Serves a listener that gives the same response to every request: readiness
+/// or metrics.
+async fn serve_constant(
     shared: Rc<Shared>,
     listener: TcpListener,
     answer: fn(&Shared) -> hyper::Response<Full<Bytes>>,
@@ -259,7 +263,7 @@
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
             Err(error) => {
-                log::warn!("accepting a connection: {error}");
+                log::warn!("failed to accept a connection: {error}");
                 tokio::time::sleep(TICK).await;
                 continue;
             }
@@ -272,7 +276,7 @@
             });
             let served = http1::Builder::new().serve_connection(TokioIo::new(stream), service);
             if let Err(error) = served.await {
-                log::debug!("a connection ended: {error}");
+                log::debug!("a connection failed: {error}");
             }
         });
     }
--- a/crates/hollywell/src/entry/settings.rs
+++ b/crates/hollywell/src/entry/settings.rs
@@ -1,8 +1,9 @@
-//! Settings of an entry instance on a platform: an INI file, checked.
+//! Settings of an entry instance on a platform, read from an INI file and
+//! validated.
 //!
-//! The platform renders the file from a template, so the keys are the
-//! product's own. Every fault is reported; a key that nothing reads is one
-//! too, since the template is the project's.
+//! The platform renders the file from a template that this project provides, so
+//! the keys are its own and an unknown key is an error. All faults are reported
+//! at once.
 
 use std::{net::SocketAddr, path::Path, time::Duration};
 
@@ -18,35 +19,35 @@
     pub name: String,
     /// Its failure domain.
     pub domain: String,
-    /// What its link carries, in whole Mbit/s; 0 if that is not known.
+    /// The bandwidth of its network link, in Mbit/s; 0 if unknown.
     pub link_mbps: u64,
     /// All failure domains, in a fixed order.
     pub domains: Vec<String>,
-    /// Where callers and trainers reach it.
+    /// The address on which callers and trainers are served.
     pub listen: SocketAddr,
-    /// Where the platform asks whether it takes callers.
+    /// The address on which the platform checks readiness.
     pub ready_listen: SocketAddr,
-    /// Where its peers reach it.
+    /// The address on which peers are served.
     pub peer_listen: SocketAddr,
-    /// Where its metrics are served.
+    /// The address on which metrics are served.
     pub metrics_listen: SocketAddr,
     /// The store.
     pub store: Store,
-    /// Times that the platform promises or demands.
+    /// Times that the platform guarantees or requires.
     pub times: Times,
-    /// Duties that one instance has at a time, where the platform asks for
+    /// Duties that one instance at a time performs, if the platform requires
     /// them.
     pub duties: Option<Duties>,
-    /// Least severe level of log lines.
+    /// The most verbose level of log lines that are written.
     pub level: log::LevelFilter,
 }
 
-/// Duties that one instance has at a time.
+/// Duties that one instance at a time performs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Duties {
     /// The address of the platform's API.
     pub address: SocketAddr,
-    /// Windows of usage.
+    /// The usage windows and when they are reported.
     pub usage: usage::Terms,
 }
 
@@ -55,43 +56,44 @@
 pub struct Store {
     /// Its address.
     pub address: SocketAddr,
-    /// Partitions of each topic.
+    /// Number of partitions of each topic.
     pub parts: u32,
-    /// Longest record, in bytes.
+    /// Limit on the size of a record, in bytes.
     pub record_bytes: usize,
-    /// Longest call, in bytes.
+    /// Limit on the size of a call, in bytes.
     pub call_bytes: usize,
-    /// Shortest life of a group's member without a call.
+    /// Minimum time to live of a group's member.
     pub ttl_min: Duration,
-    /// How long a record lives in its log.
+    /// Retention time of a record in its log.
     pub retention: Duration,
-    /// Bytes that all topics together may take.
+    /// Capacity for all topics together, in bytes.
     pub room_bytes: u64,
-    /// What it serves all instances together.
+    /// Read capacity that all instances share.
     pub supply: relay::Supply,
 }
 
-/// Times that the platform promises or demands.
+/// Times that the platform guarantees or requires.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Times {
-    /// From SIGTERM until the process is killed.
+    /// Grace period from SIGTERM until the process is killed.
     pub grace: Duration,
-    /// A holder of orders that fell silent for so long has lost them.
+    /// Time after which the lease for giving orders expires if its holder is
+    /// unresponsive.
     pub lease: Duration,
-    /// A job's results are kept for so long after its submission.
+    /// Retention time of a job's results, counted from its submission.
     pub status: Duration,
-    /// Time between two entries of a target.
+    /// Time between two announcements of a target.
     pub heartbeat: Duration,
-    /// A configuration is in force everywhere so long after its
-    /// acknowledgement.
+    /// Time from the acknowledgement of a configuration until it has to be in
+    /// force at all instances.
     pub config_apply: Duration,
-    /// Longest time for which a key may be taken for good without news of the
-    /// configuration; `None` for any.
+    /// Maximum age of the configuration at which API keys are still accepted;
+    /// `None` for no limit.
     pub revoke: Option<Duration>,
 }
 
 impl Times {
-    /// [`Times::status`] in milliseconds, as decisions count.
+    /// [`Times::status`] in milliseconds.
     #[must_use]
     pub fn status_ms(&self) -> u64 {
         u64::try_from(self.status.as_millis()).unwrap_or(u64::MAX)
@@ -99,20 +101,21 @@
 }
 
 impl Settings {
-    /// Reads and checks a settings file.
+    /// Reads and validates a settings file.
     ///
     /// # Errors
     ///
-    /// Every [`Fault`] found.
+    /// All [`Fault`]s found.
     pub fn load(path: &Path) -> Result<Settings, Vec<Fault>> {
         Settings::parse(path, &settings::read(path)?)
     }
 
-    /// Checks the text of a settings file; `path` is only named in faults.
+    /// Parses and validates the text of a settings file. `path` is only used in
+    /// faults.
     ///
     /// # Errors
     ///
-    /// Every [`Fault`] found.
+    /// All [`Fault`]s found.
     ///
     /// # Example
     ///
@@ -120,7 +123,7 @@
     /// use hollywell::entry::settings::Settings;
     ///
     /// let faults = Settings::parse("a.ini".as_ref(), "[instance]\nnane = a\n").unwrap_err();
-    /// // The misspelt key is reported beside the missing one.
+    /// // Both the misspelt key and the missing one are reported.
     /// assert!(faults.iter().any(|fault| fault.key == "nane"));
     /// assert!(faults.iter().any(|fault| fault.key == "name"));
     /// ```
@@ -132,12 +135,12 @@
 fn read_all(reader: &mut Reader<'_>) -> Settings {
     const SECOND: Duration = Duration::from_secs(1);
     const MILLISECOND: Duration = Duration::from_millis(1);
-    const MOST_S: f64 = 86_400.0;
-    const MOST_MS: f64 = MOST_S * 1_000.0;
-    const MOST_BYTES: u64 = 1 << 30;
-    const MOST_MB: f64 = 1e6;
-    /// The users' store holds 400 MB; as measured, MiB.
-    const ROOM_BYTES: u64 = 400 << 20;
+    const MAX_S: f64 = 86_400.0;
+    const MAX_MS: f64 = MAX_S * 1_000.0;
+    const MAX_BYTES: u64 = 1 << 30;
+    const MAX_MB: f64 = 1e6;
+    /// The users' store holds 400 MB; measurements show that these are MiB.
+    const CAPACITY_BYTES: u64 = 400 << 20;
     let instance = "instance";
     let domain = reader.text(instance, "domain", None);
     let levels = ["off", "error", "warn", "info", "debug", "trace"];
@@ -150,7 +153,7 @@
         name: reader.text(instance, "name", None),
         domains: reader.list(instance, "domains", &domain),
         domain,
-        link_mbps: reader.fraction(instance, "link_mbps", 0.0, 0.0..=MOST_MB) as u64,
+        link_mbps: reader.fraction(instance, "link_mbps", 0.0, 0.0..=MAX_MB) as u64,
         listen: reader.address(instance, "listen"),
         ready_listen: reader.address(instance, "ready_listen"),
         peer_listen: reader.address(instance, "peer_listen"),
@@ -158,28 +161,22 @@
         store: Store {
             address: reader.address(store, "address"),
             parts: u32::try_from(parts).unwrap_or(1),
-            record_bytes: reader.size(store, "record_bytes", 262_144, 4_096..=MOST_BYTES),
-            call_bytes: reader.size(store, "call_bytes", 2_097_152, 4_096..=MOST_BYTES),
-            ttl_min: reader.time(store, "ttl_min_ms", MILLISECOND, 1_000.0, 1.0..=MOST_MS),
-            retention: reader.time(store, "retention_s", SECOND, 300.0, 1.0..=MOST_S),
+            record_bytes: reader.size(store, "record_bytes", 262_144, 4_096..=MAX_BYTES),
+            call_bytes: reader.size(store, "call_bytes", 2_097_152, 4_096..=MAX_BYTES),
+            ttl_min: reader.time(store, "ttl_min_ms", MILLISECOND, 1_000.0, 1.0..=MAX_MS),
+            retention: reader.time(store, "retention_s", SECOND, 300.0, 1.0..=MAX_S),
             supply: relay::Supply {
                 reads: reader.number(store, "reads_per_s", 2_000, 1..=u64::MAX),
-                bytes: (reader.fraction(store, "read_mb_s", 80.0, 0.001..=MOST_MB) * 1e6) as u64,
+                bytes: (reader.fraction(store, "read_mb_s", 80.0, 0.001..=MAX_MB) * 1e6) as u64,
             },
-            room_bytes: reader.number(store, "room_bytes", ROOM_BYTES, 65_536..=u64::MAX),
+            room_bytes: reader.number(store, "room_bytes", CAPACITY_BYTES, 65_536..=u64::MAX),
         },
         times: Times {
-            grace: reader.time(times, "grace_s", SECOND, 8.0, 0.1..=MOST_S),
-            lease: reader.time(times, "lease_ms", MILLISECOND, 3_000.0, 100.0..=MOST_MS),
-            status: reader.time(times, "status_s", SECOND, 120.0, 0.1..=MOST_S),
-            heartbeat: reader.time(times, "beat_ms", MILLISECOND, 1_200.0, 1.0..=MOST_MS),
-            config_apply: reader.time(
-                times,
-                "config_apply_ms",
-                MILLISECOND,
-                2_000.0,
-                1.0..=MOST_MS,
-            ),
+            grace: reader.time(times, "grace_s", SECOND, 8.0, 0.1..=MAX_S),
+            lease: reader.time(times, "lease_ms", MILLISECOND, 3_000.0, 100.0..=MAX_MS),
+            status: reader.time(times, "status_s", SECOND, 120.0, 0.1..=MAX_S),
+            heartbeat: reader.time(times, "beat_ms", MILLISECOND, 1_200.0, 1.0..=MAX_MS),
+            config_apply: reader.time(times, "config_apply_ms", MILLISECOND, 2_000.0, 1.0..=MAX_MS),
             revoke: (revoke_ms > 0).then(|| Duration::from_millis(revoke_ms)),
         },
         duties: read_duties(reader),
@@ -189,11 +186,11 @@
 
 fn read_duties(reader: &mut Reader<'_>) -> Option<Duties> {
     const SECOND: Duration = Duration::from_secs(1);
-    const MOST_S: f64 = 86_400.0;
+    const MAX_S: f64 = 86_400.0;
     let section = "duties";
     let is_set = reader.optional(section, "address").is_some();
-    let window = reader.time(section, "report_window_s", SECOND, 5.0, 0.1..=MOST_S);
-    let late = reader.time(section, "usage_late_s", SECOND, 10.0, 0.1..=MOST_S);
+    let window = reader.time(section, "report_window_s", SECOND, 5.0, 0.1..=MAX_S);
+    let late = reader.time(section, "usage_late_s", SECOND, 10.0, 0.1..=MAX_S);
     let ms = |time: Duration| u64::try_from(time.as_millis()).unwrap_or(u64::MAX);
     let usage = usage::Terms { window_ms: ms(window), late_ms: ms(late) };
     is_set.then(|| Duties { address: reader.address(section, "address"), usage })
--- a/crates/hollywell/src/entry/texts.rs
+++ b/crates/hollywell/src/entry/texts.rs
@@ -1,5 +1,5 @@
-//! Texts and bundles of samples: read from the store when they are asked
-//! for, a few of the latest kept.
+//! Texts and bundles of samples: read from the store on demand, with a small
+//! cache.
 
 use std::{
     cell::RefCell,
@@ -18,16 +18,17 @@
     },
 };
 
-/// Most bytes of texts that are kept: a few reads of one caller.
-const KEPT_BYTES: usize = 1 << 20;
+/// Capacity of the cache in bytes: a few reads of one caller.
+const CACHE_BYTES: usize = 1 << 20;
 
-/// What a record takes in a read besides its value, at most.
-const RECORD_BYTES: usize = 300;
-/// Most that one read asks for, in KB.
-const MOST_KB: usize = 1_024;
+/// Upper bound of a record's size in a read apart from its value, in bytes.
+const MAX_OVERHEAD_BYTES: usize = 300;
+/// Limit on the size of one read, in KB.
+const MAX_READ_KB: usize = 1_024;
 
-/// Texts that were read or written lately, by key. A key is written to one
-/// partition only; offsets mean nothing without their partition.
+/// A cache of texts that were read or written recently. Entries are matched by
+/// key as well: a key belongs to one partition, whereas the same offset exists
+/// in every partition.
 ///
 /// # Example
 ///
@@ -38,50 +39,52 @@
 /// let texts = TextCache::default();
 /// texts.insert(&text("a"), "A".into());
 /// assert_eq!(texts.get(&text("a")).unwrap(), "A");
-/// // The same offset with another key is another partition's text.
+/// // The same offset with another key is a text of another partition.
 /// assert!(texts.get(&text("b")).is_none());
 /// ```
 #[derive(Debug, Default)]
 pub struct TextCache {
-    kept: RefCell<VecDeque<(TextRef, Bytes)>>,
+    cached: RefCell<VecDeque<(TextRef, Bytes)>>,
 }
 
 impl TextCache {
-    /// Keeps a text, and lets the oldest go.
+    /// Inserts a text and evicts the oldest ones beyond the capacity.
     pub fn insert(&self, at: &TextRef, text: Bytes) {
-        let mut kept = self.kept.borrow_mut();
-        kept.push_back((at.clone(), text));
-        let mut bytes: usize = kept.iter().map(|(_, text)| text.len()).sum();
-        while bytes > KEPT_BYTES {
-            bytes -= kept.pop_front().map_or(bytes, |(_, text)| text.len());
+        let mut cached = self.cached.borrow_mut();
+        cached.push_back((at.clone(), text));
+        let mut bytes: usize = cached.iter().map(|(_, text)| text.len()).sum();
+        while bytes > CACHE_BYTES {
+            bytes -= cached.pop_front().map_or(bytes, |(_, text)| text.len());
         }
     }
 
-    /// The text, if it is kept.
+    /// The text, if it is cached.
     #[must_use]
     pub fn get(&self, at: &TextRef) -> Option<Bytes> {
-        let kept = self.kept.borrow();
-        kept.iter().find(|(other, _)| other == at).map(|(_, text)| text.clone())
+        let cached = self.cached.borrow();
+        cached.iter().find(|(other, _)| other == at).map(|(_, text)| text.clone())
     }
 }
 
-/// The texts that are wanted, in their order. All lie in one partition.
+/// Reads the given texts of one partition and returns them in the given order.
 ///
 /// # Errors
 ///
-/// The store's [`StoreError`]; [`StoreError::Malformed`] where a text is not there.
+/// The store's [`StoreError`]; [`StoreError::Malformed`] if a text does not
+/// exist.
 pub async fn fetch(shared: &Rc<Shared>, wanted: &[TextRef]) -> Result<Vec<Bytes>, StoreError> {
     let part = wanted.first().map_or(0, |text| text.part);
     let mut found: BTreeMap<u64, Bytes> = BTreeMap::new();
     for text in wanted {
-        if let Some(kept) = shared.text_cache.get(text) {
-            found.insert(text.offset, kept);
+        if let Some(cached) = shared.text_cache.get(text) {
+            found.insert(text.offset, cached);
         }
     }
     while let Some(from) = first_missing(wanted, &found) {
         match read(shared, part, from, wanted, &mut found).await {
             Ok(()) if found.contains_key(&from) => {}
-            // The record itself is gone, or the history up to it.
+            // The log was trimmed past the record, or the record was removed
+            // from the log.
             Ok(()) | Err(StoreError::Trimmed(_)) => {
                 return by_key(shared, part, wanted).await;
             }
@@ -95,7 +98,7 @@
     wanted.iter().map(|text| text.offset).filter(|offset| !found.contains_key(offset)).min()
 }
 
-/// Reads records from an offset on and takes those that are wanted.
+/// Reads records from an offset and collects the wanted ones.
 async fn read(
     shared: &Rc<Shared>,
     part: u32,
@@ -104,13 +107,13 @@
     found: &mut BTreeMap<u64, Bytes>,
 ) -> Result<(), StoreError> {
     let missing = wanted.iter().filter(|text| !found.contains_key(&text.offset));
-    let bytes: usize = missing.map(|text| text.bytes() + RECORD_BYTES).sum();
-    let max_kb = Some(bytes.div_ceil(1_024).min(MOST_KB));
+    let bytes: usize = missing.map(|text| text.bytes() + MAX_OVERHEAD_BYTES).sum();
+    let max_kb = Some(bytes.div_ceil(1_024).min(MAX_READ_KB));
     let read = Read { part: Partition::new(TEXTS, part), from, wait: Duration::ZERO, max_kb };
     for record in shared.reader.read(read).await?.records {
         let is_wanted = |text: &&TextRef| text.offset == record.offset && text.key == record.key;
         if let (Some(at), Some(value)) = (wanted.iter().find(is_wanted), record.value) {
-            // A copy: the record is a part of the whole read.
+            // Copied, because the value shares the buffer of the whole read.
             let text = Bytes::copy_from_slice(&value);
             shared.text_cache.insert(at, text.clone());
             found.insert(record.offset, text);
@@ -119,13 +122,13 @@
     Ok(())
 }
 
-/// A key that sorts before another, and behind most that do: what it begins
-/// with.
+/// A key that sorts before another one and after most others that do: its
+/// prefix without the last character.
 fn just_before(key: &str) -> String {
     key.char_indices().last().map(|(at, _)| key[..at].to_owned()).unwrap_or_default()
 }
 
-/// Reads texts by their keys, which are kept for good.
+/// Reads texts by their keys, which the store keeps after the log was trimmed.
 async fn by_key(
     shared: &Rc<Shared>,
     part: u32,
@@ -143,7 +146,7 @@
                 found.insert(record.key, value);
             }
         }
-        // On to the next that is missing, past what nobody wants.
+        // Continue at the next missing text and skip the keys in between.
         let missing = wanted.iter().map(|text| &text.key).filter(|key| !found.contains_key(*key));
         let next = missing.min().map(|key| just_before(key));
         after = page.after.zip(next).map(|(after, next)| after.max(next));
--- a/crates/hollywell/src/entry/unstarted.rs
+++ b/crates/hollywell/src/entry/unstarted.rs
@@ -1,8 +1,8 @@
-//! Jobs that were accepted and that nobody begins.
+//! Detects accepted jobs that no instance starts.
 //!
-//! Whoever accepted a job has promised its results, and any other instance
-//! may be the one that is to run it. That nothing begins must be seen where it
-//! was promised, whatever the cause: in the log and in a metric.
+//! An instance that accepts a job promises its results, but other instances may
+//! have to run it. If nothing starts, whatever the cause, this is reported in
+//! the log and in a metric of the instance that accepted the job.
 
 use std::{rc::Rc, time::Duration};
 
@@ -10,26 +10,26 @@
 
 use crate::{core::fleet::Target, entry::shared::Shared};
 
-/// Time in which a job that was accepted begins: its samples are read, sent
-/// and mostly whole by then.
-const WITHIN: Duration = Duration::from_secs(2);
-/// Looks after that, each as long after the one before.
-const LOOKS: u32 = 4;
+/// Time within which an accepted job starts: normally its samples are read, sent
+/// and mostly complete by then.
+const CHECK_INTERVAL: Duration = Duration::from_secs(2);
+/// Number of checks, one per interval.
+const CHECKS: u32 = 4;
 
-/// Reason nothing of a job is known to have begun.
+/// Why a job has not started, as far as this instance knows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Reason {
-    /// Its own acceptance was not read here.
+    /// This instance has not read the job's metadata from the store.
     Unread,
-    /// What is known of its partition is out of date.
+    /// The state of its partition is out of date.
     Stale,
-    /// No instance is known, so that nobody owns anything.
+    /// No instance is known, so the job has no owner.
     NoInstances,
-    /// Its route is in no configuration that is known here.
+    /// The configuration has no route for it.
     Unrouted,
-    /// No target may take its samples.
+    /// No target can run its samples.
     NoTarget,
-    /// Its owners have not begun.
+    /// The owners of its samples have not started them.
     OwnerIdle,
 }
 
@@ -46,21 +46,24 @@
     }
 }
 
-/// Looks whether a job that was accepted here begins.
+/// Checks whether a job that was accepted here starts.
 pub(super) async fn watch(shared: Rc<Shared>, part: usize, job: String) {
-    let mut since = Duration::ZERO;
-    for _ in 0..LOOKS {
-        sleep(WITHIN).await;
-        since += WITHIN;
-        let Some(why) = unstarted(&shared, part, &job) else {
+    let mut elapsed = Duration::ZERO;
+    for _ in 0..CHECKS {
+        sleep(CHECK_INTERVAL).await;
+        elapsed += CHECK_INTERVAL;
+        let Some(reason) = unstarted(&shared, part, &job) else {
             return;
         };
-        shared.meters.unstarted_jobs.with_label_values(&[why.as_str()]).inc();
-        log::warn!("job {job}: nothing has begun {since:?} after its acceptance: {}", why.as_str());
+        shared.meters.unstarted_jobs.with_label_values(&[reason.as_str()]).inc();
+        log::warn!(
+            "job {job}: nothing has begun {elapsed:?} after its acceptance: {}",
+            reason.as_str()
+        );
     }
 }
 
-/// Reason nothing of a job has begun; `None` if something has, or it was ended.
+/// Why a job has not started; `None` if it has, or was ended.
 fn unstarted(shared: &Shared, part: usize, id: &str) -> Option<Reason> {
     let now = shared.now();
     let control = shared.control.borrow();
@@ -68,8 +71,8 @@
     let Some(job) = partition.index.jobs.get(id) else {
         return (!control.ending.holds(id)).then_some(Reason::Unread);
     };
-    let is_here = control.partial_texts.keys().any(|slot| slot.job == id);
-    if job.ended || is_here || !job.listed.is_empty() || !job.partials.is_empty() {
+    let is_running_here = control.partial_texts.keys().any(|slot| slot.job == id);
+    if job.ended || is_running_here || !job.listed.is_empty() || !job.partials.is_empty() {
         return None;
     }
     let plan = control.configuration.as_ref();
@@ -84,7 +87,7 @@
     if control.roster.members().is_empty() {
         return Some(Reason::NoInstances);
     }
-    let fits = |target: &Target| target.may_run(&job.head.model, job.head.min_version);
-    let is_served = control.fleet.usable(pool).any(fits);
+    let can_run = |target: &Target| target.may_run(&job.head.model, job.head.min_version);
+    let is_served = control.fleet.usable(pool).any(can_run);
     Some(if is_served { Reason::OwnerIdle } else { Reason::NoTarget })
 }
