--- /dev/null
+++ b/crates/hollywell/src/core/dispatch/locality.rs
@@ -0,0 +1,112 @@
+//! Selects the targets of a large pool that one instance considers for a job's
+//! samples.
+//!
+//! Examining thousands of targets for each sample, and for each run at each
+//! tick, takes a small instance more time than it has. So each instance
+//! considers a few dozen that can run the job: first those of its own failure
+//! domain, since traffic between domains is expensive, and among equals those
+//! with the lowest hash of both names. The hash spreads the instances evenly
+//! over the targets, and a change of targets or instances changes few
+//! selections. Targets that are avoided are left out, so that those of a lost
+//! domain are replaced by others.
+
+use super::Work;
+use crate::core::{
+    choice::Observations,
+    fleet::{Announcement, Fleet, Target},
+    time::Time,
+};
+
+/// Number of targets up to which all are considered, and minimum size of the
+/// selection from more: with six slots each, more than the samples of a dozen
+/// groups need.
+const MIN_SELECTION: usize = 64;
+/// How long a selection is kept, in milliseconds: an engine that has loaded a
+/// version should be found soon.
+const REFRESH_MS: u64 = 500;
+/// How long a selection is kept once none of its targets had a free slot, in
+/// milliseconds.
+const REFRESH_EXHAUSTED_MS: u64 = 100;
+/// Targets selected per sample of the job that this instance runs.
+const TARGETS_PER_SAMPLE: usize = 4;
+
+/// The targets selected for a job.
+#[derive(Clone, Debug, Default)]
+pub(super) struct Locality {
+    selected_at: Option<Time>,
+    ids: Vec<String>,
+    exhausted: bool,
+}
+
+/// The instance that selects.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct Selector<'a> {
+    /// Hash of the instance's name.
+    pub salt: u64,
+    /// The instance's failure domain.
+    pub domain: &'a str,
+    /// Number of samples of the job that the instance runs.
+    pub samples: usize,
+}
+
+impl Locality {
+    /// Records that no selected target had a free slot.
+    pub(super) fn mark_exhausted(&mut self) {
+        self.exhausted = true;
+    }
+
+    /// Selects again, if the current selection has expired.
+    pub(super) fn refresh(
+        &mut self,
+        now: Time,
+        selector: Selector<'_>,
+        work: &Work,
+        fleet: &Fleet,
+        observations: &Observations,
+    ) {
+        let refresh_ms = if self.exhausted { REFRESH_EXHAUSTED_MS } else { REFRESH_MS };
+        let is_current = self.selected_at.is_some_and(|at| now.since(at) < refresh_ms);
+        if is_current || is_small(fleet) {
+            return;
+        }
+        let is_suitable = |target: &&Target| {
+            target.may_run(&work.model, work.min_version)
+                && !observations.is_avoided(now, &target.announcement.id)
+        };
+        let rank = |target: &Target| {
+            let id = target.announcement.id.as_bytes();
+            let hash = xxhash_rust::xxh3::xxh3_64_with_seed(id, selector.salt);
+            (target.announcement.domain != selector.domain, hash)
+        };
+        let all = fleet.usable(&work.pool).filter(is_suitable);
+        let mut all: Vec<_> = all.map(|target| (rank(target), &target.announcement.id)).collect();
+        let limit = MIN_SELECTION.max(selector.samples * TARGETS_PER_SAMPLE);
+        if all.len() > limit {
+            all.select_nth_unstable(limit);
+            all.truncate(limit);
+        }
+        self.ids = all.into_iter().map(|(_, id)| id.clone()).collect();
+        (self.selected_at, self.exhausted) = (Some(now), false);
+    }
+
+    /// The targets to consider for a job's samples.
+    pub(super) fn targets<'a>(&self, work: &'a Work, fleet: &'a Fleet) -> Vec<&'a Announcement> {
+        let is_suitable = |target: &&Target| target.may_run(&work.model, work.min_version);
+        if is_small(fleet) {
+            return fleet
+                .usable(&work.pool)
+                .filter(is_suitable)
+                .map(|target| &target.announcement)
+                .collect();
+        }
+        let selected = self.ids.iter().filter_map(|id| fleet.targets.get(id));
+        let is_usable =
+            |target: &&Target| target.announcement.pool == work.pool && fleet.accepts(target);
+        selected.filter(is_usable).filter(is_suitable).map(|target| &target.announcement).collect()
+    }
+}
+
+/// Whether there are so few targets that all are considered.
+pub(super) fn is_small(fleet: &Fleet) -> bool {
+    fleet.targets.len() <= MIN_SELECTION
+}
--- a/crates/hollywell/src/entry/caller.rs
+++ b/crates/hollywell/src/entry/caller.rs
@@ -17,8 +17,8 @@
 
 use crate::{
     core::{
+        configuration::{Configuration, Route},
         organisation::{Directory, Organisation, Stranger},
-        plan::{Plan, Route},
     },
     entry::{configuration, shared::Shared},
     error::Kind,
@@ -79,7 +79,7 @@
 /// The route of a request and its caller, under one configuration.
 fn for_route(
     shared: &Shared,
-    plan: &Plan,
+    plan: &Configuration,
     host: &str,
     path: &str,
     headers: &HeaderMap,
@@ -99,7 +99,12 @@
 }
 
 /// The caller of an operation on a job of a host, under one configuration.
-fn for_job(shared: &Shared, plan: &Plan, host: &str, headers: &HeaderMap) -> Result<Caller, Kind> {
+fn for_job(
+    shared: &Shared,
+    plan: &Configuration,
+    host: &str,
+    headers: &HeaderMap,
+) -> Result<Caller, Kind> {
     let Some(directory) = &plan.organisations else {
         return Ok(Caller::Unrestricted);
     };
@@ -139,7 +144,7 @@
 
 async fn with_current_configuration<T>(
     shared: &Rc<Shared>,
-    identify: impl Fn(&Plan) -> Result<T, Kind>,
+    identify: impl Fn(&Configuration) -> Result<T, Kind>,
 ) -> Result<T, Kind> {
     let deadline = Instant::now() + CONFIGURATION_WAIT;
     loop {
@@ -167,7 +172,7 @@
 
 /// Whether the configuration is too old to accept an API key, which may have
 /// been revoked since.
-fn is_too_old(shared: &Shared, plan: &Plan) -> bool {
+fn is_too_old(shared: &Shared, plan: &Configuration) -> bool {
     let Some(revoke) = shared.settings.times.revoke else {
         return false;
     };
--- a/crates/hollywell/src/entry/capacity.rs
+++ b/crates/hollywell/src/entry/capacity.rs
@@ -1,6 +1,6 @@
 //! Keeps the store from being filled: adds up what it holds, trims logs, and
 //! says whether another job may be accepted. What is decided stands in
-//! [`crate::core::room`].
+//! [`crate::core::capacity`].
 
 use std::{rc::Rc, time::Duration};
 
@@ -9,8 +9,8 @@
 use crate::{
     core::{
         batch::{CLOCKS_APART_MS, Job, Submission},
+        capacity::{self, LIVE_OVERHEAD, LOG_OVERHEAD, Purpose},
         dispatch::owner,
-        room::{self, LIVE_OVERHEAD, LOG_OVERHEAD, Use},
     },
     entry::{
         hints::{self, Hint},
@@ -74,14 +74,14 @@
     let tokens: u64 = jobs().map(Job::tokens_to_come).sum();
     let samples = jobs().filter(|job| !job.ended).map(|job| job.done.len() - job.listed.len());
     let outcomes = samples.sum::<usize>() as u64 * OUTCOME_BYTES;
-    let max_log_bytes = control.capacity.log_most(2 * control.partitions.len());
+    let max_log_bytes = control.capacity.max_log_bytes(2 * control.partitions.len());
     let own = control
         .partitions
         .iter()
         .flat_map(|partition| &partition.logs)
         .map(|log| log.bytes(max_log_bytes));
     let logs = own.sum::<u64>() + others;
-    control.capacity.seen(now, live, logs, (tokens as f64 * ratio) as u64 + outcomes);
+    control.capacity.update(now, live, logs, (tokens as f64 * ratio) as u64 + outcomes);
     shared.meters.store_used_bytes.set(i64::try_from(control.capacity.used()).unwrap_or(i64::MAX));
     ratio
 }
@@ -90,10 +90,10 @@
 fn log_transition(shared: &Shared, tight: &mut bool) {
     let now = shared.now();
     let control = shared.control.borrow();
-    let allowed = control.capacity.allows(now, Use::Head, 0);
+    let allowed = control.capacity.allows(now, Purpose::Manifest, 0);
     if *tight == allowed {
         *tight = !allowed;
-        let (used, room) = (control.capacity.used(), control.capacity.room());
+        let (used, room) = (control.capacity.used(), control.capacity.total());
         let full = control.capacity.is_full(now);
         if allowed {
             log::info!("store has room again: {used} of {room} bytes known to be used");
@@ -160,16 +160,16 @@
     let now = shared.now();
     let control = shared.control.borrow();
     let members = control.roster.members();
-    let max_log_bytes = control.capacity.log_most(2 * control.partitions.len());
+    let max_log_bytes = control.capacity.max_log_bytes(2 * control.partitions.len());
     let full = control.capacity.is_full(now);
     // Jobs have followers, which would have to begin anew; texts are found by
     // their keys as well.
-    let young_ms = if at == 0 { room::LEAST_MS } else { FULL_TEXTS_MS };
+    let young_ms = if at == 0 { capacity::MIN_LOG_AGE_MS } else { FULL_TEXTS_MS };
     let log = &control.partitions[part].logs[at];
     let is_owner = owner(members, &format!("trim {part}"), "") == Some(shared.instance_id.as_str());
     let late = log.bytes(0) > max_log_bytes + max_log_bytes / 2;
     let is_helper = (full || late) && rand::random_bool((HELPERS / members.len() as f64).min(1.0));
-    let before = log.cut(now, max_log_bytes, full.then_some(young_ms))?;
+    let before = log.trim_offset(now, max_log_bytes, full.then_some(young_ms))?;
     (is_owner || is_helper).then_some((before, full))
 }
 
--- a/crates/hollywell/src/entry/configuration.rs
+++ b/crates/hollywell/src/entry/configuration.rs
@@ -20,7 +20,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::{
-    core::{plan::Plan, time::Time},
+    core::{configuration::Configuration, time::Time},
     entry::{peers, shared::Shared},
 };
 
@@ -47,7 +47,7 @@
     /// The configuration's version.
     version: u64,
     /// The configuration, if it is newer than the requester's.
-    plan: Option<Plan>,
+    plan: Option<Configuration>,
     /// The newest version of each model's weights.
     named: BTreeMap<String, u64>,
     /// Failure domains that are evacuated; `None` from a peer that does not
@@ -57,7 +57,7 @@
 }
 
 /// Puts a configuration in force if it is newer than the current one.
-pub(super) fn adopt(shared: &Shared, plan: Plan, from: &str) {
+pub(super) fn adopt(shared: &Shared, plan: Configuration, from: &str) {
     let mut control = shared.control.borrow_mut();
     let before = control.configuration.as_ref().map_or(0, |plan| plan.version);
     if plan.version > before {
@@ -70,7 +70,7 @@
 /// Records the newest version of a model's weights.
 pub(super) fn adopt_version(shared: &Shared, model: &str, version: u64) {
     let mut control = shared.control.borrow_mut();
-    let named = control.models.named.entry(model.to_owned()).or_insert(0);
+    let named = control.models.newest.entry(model.to_owned()).or_insert(0);
     if *named < version {
         *named = version;
         log::info!("newest version of model {model} is {version}");
@@ -197,7 +197,8 @@
     let plan =
         control.configuration.as_deref().filter(|plan| plan.version > requester_version).cloned();
     let evacuated = Some(control.fleet.evacuated().clone());
-    let message = Message { age_ms, version, plan, named: control.models.named.clone(), evacuated };
+    let message =
+        Message { age_ms, version, plan, named: control.models.newest.clone(), evacuated };
     match serde_json::to_vec(&message) {
         Ok(bytes) => Response::new(Full::new(bytes.into())),
         Err(error) => {
--- a/crates/hollywell/src/entry/feed.rs
+++ b/crates/hollywell/src/entry/feed.rs
@@ -238,20 +238,23 @@
 /// the store itself.
 pub(super) fn sources(shared: &Shared) -> Vec<String> {
     let control = shared.control.borrow();
-    let all =
-        relay::sources(control.roster.members(), &shared.instance_id, is_crowded(shared, &control));
+    let all = relay::sources(
+        control.roster.members(),
+        &shared.instance_id,
+        is_overloaded(shared, &control),
+    );
     all.into_iter().map(str::to_owned).collect()
 }
 
 /// Whether the store cannot serve all instances.
-fn is_crowded(shared: &Shared, control: &Control) -> bool {
+fn is_overloaded(shared: &Shared, control: &Control) -> bool {
     let demand = relay::Demand {
         instances: control.roster.members().len(),
         targets: control.fleet.targets.len(),
         beat_ms: u64::try_from(shared.settings.times.heartbeat.as_millis()).unwrap_or(u64::MAX),
     };
     // How many read it is not known where not all show.
-    control.census.is_full() || relay::is_crowded(shared.settings.store.supply, demand)
+    control.group_size.is_full() || relay::is_overloaded(shared.settings.store.supply, demand)
 }
 
 /// Whether this instance follows others.
@@ -275,7 +278,7 @@
 /// Whether others follow this instance.
 pub(super) fn is_source(shared: &Shared) -> bool {
     let control = shared.control.borrow();
-    relay::is_source(control.roster.members(), &shared.instance_id, is_crowded(shared, &control))
+    relay::is_source(control.roster.members(), &shared.instance_id, is_overloaded(shared, &control))
 }
 
 /// Notes what was read of a partition from its beginning, so that only what
@@ -286,7 +289,7 @@
         let control = shared.control.borrow();
         let members = control.roster.members();
         let is_root = relay::parent(members, &shared.instance_id).is_none();
-        if !is_root || !relay::is_used(members, &shared.instance_id) {
+        if !is_root || !relay::has_relays(members, &shared.instance_id) {
             return;
         }
     }
--- a/crates/hollywell/src/entry/follow.rs
+++ b/crates/hollywell/src/entry/follow.rs
@@ -18,7 +18,7 @@
 use crate::{
     core::{
         batch::Record,
-        fleet::{Announcement, Heard},
+        fleet::{AnnounceOutcome, Announcement},
         time::Time,
     },
     entry::{
@@ -313,7 +313,7 @@
                         records.records.iter().map(|record| record.key.as_str()).collect();
                     let ids: Vec<String> = control.fleet.targets.keys().cloned().collect();
                     for id in ids.iter().filter(|id| !listed.contains(id.as_str())) {
-                        control.fleet.vanish(now, id);
+                        control.fleet.record_expiry(now, id);
                     }
                 }
                 for record in &records.records {
@@ -332,14 +332,14 @@
     let id = &record.key;
     let Some(value) = &record.value else {
         log::info!("target {id} vanished");
-        control.fleet.vanish(now, id);
+        control.fleet.record_expiry(now, id);
         return;
     };
     match (shared.codec.announcement)(id, value) {
         Ok(said) => apply_announcement(shared, control, now, said),
         Err(why) => {
             shared.meters.announcements_skipped.inc();
-            if control.fleet.skip(id, &why) {
+            if control.fleet.record_invalid(id, &why) {
                 log::warn!("entry of {id} names no target to use: {why}");
             }
         }
@@ -349,9 +349,9 @@
 fn apply_announcement(shared: &Shared, control: &mut Control, now: Time, said: Announcement) {
     let (id, born) = (said.id.clone(), said.born);
     match control.fleet.announce(now, said) {
-        Heard::Taken => {}
-        Heard::Outdated => log::info!("entry of {id}, start {born:?}, is out of date"),
-        Heard::Restarted(address) => shared.reset_target(control, &id, address),
+        AnnounceOutcome::Accepted => {}
+        AnnounceOutcome::Outdated => log::info!("entry of {id}, start {born:?}, is out of date"),
+        AnnounceOutcome::Restarted(address) => shared.reset_target(control, &id, address),
     }
 }
 
--- a/crates/hollywell/src/entry/forward.rs
+++ b/crates/hollywell/src/entry/forward.rs
@@ -18,10 +18,10 @@
 
 use crate::{
     core::{
+        admission,
         choice::Need,
+        configuration::{Route, RouteKind},
         fleet::Announcement,
-        hold,
-        plan::{Repeat, Route},
         poison::{Digest, Verdict},
         time::Time,
     },
@@ -187,7 +187,7 @@
     /// Whether the request may be sent again.
     fn may_retry(&self, route: &Route) -> bool {
         let tried = u32::try_from(self.tried.len()).unwrap_or(u32::MAX);
-        let is_safe = route.repeat == Repeat::Safe || !self.may_have_run;
+        let is_safe = route.kind == RouteKind::Idempotent || !self.may_have_run;
         tried < route.attempts.max(1) && self.crashes < MAX_CRASHES && is_safe
     }
 
@@ -209,7 +209,7 @@
             SendOutcome::Answered(response) => {
                 self.may_have_run = true;
                 let is_failure = response.status == StatusCode::INTERNAL_SERVER_ERROR;
-                if !is_failure || route.repeat != Repeat::Safe {
+                if !is_failure || route.kind != RouteKind::Idempotent {
                     return Some(response);
                 }
                 self.failure = Some(response);
@@ -284,7 +284,9 @@
             if shared.control.borrow().stopping {
                 break;
             }
-            if let hold::Next::Reject(ms) = hold::next(observation(shared, route, salt, left_ms)) {
+            if let admission::Decision::Reject(ms) =
+                admission::decide(situation(shared, route, salt, left_ms))
+            {
                 state.retry_after_ms = Some(ms);
                 break;
             }
@@ -292,8 +294,8 @@
             continue;
         };
         let last = state.tried.len() + 1 >= route.attempts.max(1) as usize;
-        let limit_ms = match route.repeat {
-            Repeat::Safe if !last => attempt_timeout_ms(route).min(left_ms),
+        let limit_ms = match route.kind {
+            RouteKind::Idempotent if !last => attempt_timeout_ms(route).min(left_ms),
             _ => left_ms,
         };
         let usage_window = plain.usage_window.get();
@@ -309,7 +311,7 @@
         }
         if let SendOutcome::Answered(_) = &sent {
             let took_ms = shared.now().since(now);
-            shared.control.borrow_mut().observations.answered(&target.id, took_ms);
+            shared.control.borrow_mut().observations.record_answer_time(&target.id, took_ms);
         }
         if let Some(response) = state.record(route, target.id, sent) {
             return ForwardResult::Answered(response);
@@ -330,13 +332,18 @@
 
 /// The state of a route's targets when none of them can take a request, as
 /// input to admission control.
-fn observation(shared: &Shared, route: &Route, salt: u64, left_ms: u64) -> hold::Sight {
+fn situation(shared: &Shared, route: &Route, salt: u64, left_ms: u64) -> admission::Situation {
     let control = shared.control.borrow();
     let pool = pick_pool(route, salt).unwrap_or("");
-    let usable = || control.fleet.usable(pool).map(|target| target.said.id.as_str());
-    let answers = usable().filter_map(|id| control.observations.of(id)?.answer_ms);
+    let usable = || control.fleet.usable(pool).map(|target| target.announcement.id.as_str());
+    let answers = usable().filter_map(|id| control.observations.get(id)?.answer_ms);
     let usual_ms = answers.min_by(f64::total_cmp).map(|ms| ms as u64);
-    hold::Sight { known: control.fleet_loaded, usable: usable().count(), usual_ms, left_ms }
+    admission::Situation {
+        known: control.fleet_loaded,
+        usable: usable().count(),
+        usual_ms,
+        left_ms,
+    }
 }
 
 fn attempt_timeout_ms(route: &Route) -> u64 {
@@ -352,14 +359,14 @@
     let control = shared.control.borrow();
     let pool = pick_pool(route, salt)?;
     let now = shared.now();
-    let all = || control.fleet.usable(pool).map(|target| &target.said);
+    let all = || control.fleet.usable(pool).map(|target| &target.announcement);
     let reserved = suspects::reserved_target(shared, pool);
     let is_reserved = |target: &Announcement| reserved.as_ref() == Some(&target.id);
     let fresh = all().filter(|target| !tried.contains(&target.id) && !is_reserved(target));
     // Instances without any load figures must not all choose the same target.
     let own = xxhash_rust::xxh3::xxh3_64(shared.instance_id.as_bytes());
     let salt = own ^ salt.wrapping_add(tried.len() as u64);
-    let need = Need { events: 1.0, most_load: MAX_LOAD, sharers: 1.0, salt };
+    let need = Need { events: 1.0, max_load: MAX_LOAD, instances: 1.0, salt };
     let choice = control.observations.choose(now, fresh, need);
     // If every target was tried or is avoided, retry one that was tried
     // before rather than let the deadline pass.
@@ -414,7 +421,7 @@
 
 async fn send(shared: &Rc<Shared>, route: &Route, attempt: &SendAttempt<'_>) -> SendOutcome {
     let &SendAttempt { plain, target, limit_ms, left_ms, .. } = attempt;
-    shared.control.borrow_mut().observations.sent(&target.id);
+    shared.control.borrow_mut().observations.request_started(&target.id);
     let _in_flight = InFlight { shared, id: &target.id };
     let limit = Duration::from_millis(limit_ms);
     let started = shared.now();
@@ -431,7 +438,7 @@
     // safe to repeat and the target is alive, send it again at once on a new
     // connection.
     let may_have_run = matches!(answer, Err(Error::StaleConnection));
-    if may_have_run && route.repeat == Repeat::Safe {
+    if may_have_run && route.kind == RouteKind::Idempotent {
         record_no_response(shared, plain, target, &Error::StaleConnection);
         if check_exit(shared, attempt).await {
             return SendOutcome::TargetExited;
@@ -457,7 +464,7 @@
             record_no_response(shared, plain, target, &error);
             if error != Error::StaleConnection {
                 let now = shared.now();
-                shared.control.borrow_mut().observations.broke(now, &target.id);
+                shared.control.borrow_mut().observations.record_failure(now, &target.id);
             }
             if error.is_not_sent() {
                 // The first send, on the stale connection, may have run.
@@ -473,7 +480,7 @@
 /// instances.
 fn record_no_response(shared: &Shared, plain: &PlainRequest, target: &Announcement, error: &Error) {
     shared.meters.unanswered.with_label_values(&[error.as_str()]).inc();
-    let life = target.life();
+    let life = target.incarnation();
     log::info!("request {} ({}) at {life}: {error}", plain.id, plain.digest());
 }
 
@@ -487,7 +494,7 @@
 impl Drop for InFlight<'_> {
     fn drop(&mut self) {
         let now = self.shared.now();
-        self.shared.control.borrow_mut().observations.ended(now, self.id);
+        self.shared.control.borrow_mut().observations.request_ended(now, self.id);
     }
 }
 
@@ -501,13 +508,13 @@
     let names = &shared.codec.headers;
     let now = shared.now();
     if let Some(load) = answer.header(&names.load).and_then(shared.codec.load) {
-        shared.control.borrow_mut().observations.load(now, &target.id, load);
+        shared.control.borrow_mut().observations.record_load(now, &target.id, load);
     }
     let status = answer.head.status;
     let not_run = answer.head.headers.contains_key(&names.not_run)
         || status == StatusCode::MISDIRECTED_REQUEST;
     if not_run {
-        shared.control.borrow_mut().observations.full(now, &target.id);
+        shared.control.borrow_mut().observations.record_refusal(now, &target.id);
         log::debug!("request {} rejected by {} without running: {status}", plain.id, target.id);
         return SendOutcome::NotRun;
     }
@@ -529,7 +536,7 @@
             for name in HOP_BY_HOP.iter().chain([&header::CONTENT_LENGTH]) {
                 headers.remove(name);
             }
-            shared.control.borrow_mut().observations.sound(now, &target.id);
+            shared.control.borrow_mut().observations.record_success(now, &target.id);
             suspects::record_served(shared, || plain.digest());
             SendOutcome::Answered(TargetResponse { status, headers, body })
         }
@@ -562,8 +569,8 @@
         .control
         .borrow()
         .observations
-        .of(&attempt.target.id)
-        .map(|observation| observation.mine);
+        .get(&attempt.target.id)
+        .map(|observation| observation.own_requests);
     let is_alone = attempt.is_probe && own == Some(1);
     suspects::check_ended(shared, attempt.target, attempt.plain.digest(), is_alone).await
 }
--- a/crates/hollywell/src/entry/hints.rs
+++ b/crates/hollywell/src/entry/hints.rs
@@ -9,7 +9,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::{
-    core::{dispatch::Event, roll::Order, room::Use},
+    core::{capacity::Purpose, dispatch::Event, weight_loading::Order},
     entry::{
         capacity, follow,
         shared::Shared,
@@ -50,7 +50,7 @@
 pub async fn publish(shared: &Rc<Shared>, hint: &Hint) {
     let value = serde_json::to_vec(hint).unwrap_or_default();
     let records = vec![(None, value.into())];
-    let (part, purpose) = (Partition::new(TOPIC, 0), Use::News);
+    let (part, purpose) = (Partition::new(TOPIC, 0), Purpose::Hint);
     match shared.append(Append { part, records, expected_end: None, purpose }).await {
         Ok(_) => {}
         Err(fault) => log::info!("publishing the hint {hint:?}: {fault}"),
@@ -72,7 +72,7 @@
                 match serde_json::from_slice(&value) {
                     Ok(Hint::Loaded(load)) => {
                         let fleet = &mut shared.control.borrow_mut().fleet;
-                        fleet.answered(&load.target, load.born, &load.model, load.version);
+                        fleet.record_version(&load.target, load.born, &load.model, load.version);
                     }
                     Ok(Hint::Trimmed { part, texts, before }) => {
                         capacity::record_trim(shared, part, usize::from(texts), before);
--- a/crates/hollywell/src/entry/ingress.rs
+++ b/crates/hollywell/src/entry/ingress.rs
@@ -20,7 +20,7 @@
 
 use crate::{
     core::{
-        plan::{Plan, Repeat, Route},
+        configuration::{Configuration, Route, RouteKind},
         time::Time,
     },
     entry::{
@@ -205,7 +205,7 @@
         && control.configuration.is_some()
         && control.poison_loaded
         && control.fleet_loaded
-        && !control.fleet.store_away
+        && !control.fleet.store_unavailable
 }
 
 /// Responds with all metrics in the text exposition format.
@@ -243,7 +243,7 @@
 /// The configuration, once it and the poison state are loaded. Without the
 /// poison state, an instance that starts would send poison requests that the
 /// other instances max_wait back, and crash their targets.
-fn loaded_configuration(shared: &Shared) -> Option<Rc<Plan>> {
+fn loaded_configuration(shared: &Shared) -> Option<Rc<Configuration>> {
     let control = shared.control.borrow();
     control.configuration.clone().filter(|_| control.poison_loaded)
 }
@@ -280,7 +280,7 @@
     let Some(id) = id.map(str::to_owned) else {
         return refuse(shared, Kind::Malformed);
     };
-    if route.repeat == Repeat::Batch {
+    if route.kind == RouteKind::Batch {
         return submit(shared, &caller, &id, &host, head.uri.path(), &body).await;
     }
     let timeout_ms = if route.timeout_ms == 0 { DEFAULT_DEADLINE_MS } else { route.timeout_ms };
@@ -304,7 +304,7 @@
 
 async fn forwarded(
     shared: &Rc<Shared>,
-    plan: &Plan,
+    plan: &Configuration,
     route: &Route,
     request: &PlainRequest,
 ) -> HttpResponse {
--- a/crates/hollywell/src/entry/jobs.rs
+++ b/crates/hollywell/src/entry/jobs.rs
@@ -16,8 +16,8 @@
 use crate::{
     core::{
         batch::{self, Head, Outcome, Sample, Submission, TextRef},
+        capacity::Purpose,
         dispatch::{Event, Slot},
-        room::Use,
     },
     entry::{
         caller::Caller,
@@ -181,7 +181,7 @@
     is_stored: impl Fn(&Shared) -> bool,
 ) -> JobReply {
     let records = vec![(Some(key), value)];
-    let (at, purpose) = (Partition::at(JOBS, part), Use::Head);
+    let (at, purpose) = (Partition::at(JOBS, part), Purpose::Manifest);
     let append = Append { part: at, records, expected_end: None, purpose };
     match shared.append(append).await {
         Ok(_) => {
--- a/crates/hollywell/src/entry/mod.rs
+++ b/crates/hollywell/src/entry/mod.rs
@@ -5,7 +5,7 @@
 //! and a [`store::Client`], both plain structs of functions that an adapter
 //! provides; nothing here depends on the platform's formats. Decisions are taken
 //! in [`crate::core`]: [`crate::core::dispatch`] (what runs where),
-//! [`crate::core::batch`] (jobs and their results), [`crate::core::roll`] (weights).
+//! [`crate::core::batch`] (jobs and their results), [`crate::core::weight_loading`] (weights).
 //! The modules here perform the I/O.
 //!
 //! Control state and traffic share a single thread. Elsewhere in this project a
--- a/crates/hollywell/src/entry/orders.rs
+++ b/crates/hollywell/src/entry/orders.rs
@@ -13,8 +13,8 @@
 
 use crate::{
     core::{
-        roll::{self, Order, Step},
         roster,
+        weight_loading::{self, Order, Step},
     },
     entry::{
         codec::VersionOrder,
@@ -48,7 +48,7 @@
 
 struct OrderIssuer {
     lease: Rc<Lease>,
-    roll: RefCell<roll::State>,
+    roll: RefCell<weight_loading::State>,
 }
 
 /// Competes for the failure domain's lease and gives orders while it is
@@ -87,7 +87,11 @@
     }
     {
         let control = shared.control.borrow();
-        issuer.lease.set_wanted(roll::is_due(domain, &control.models, &control.fleet));
+        issuer.lease.set_wanted(weight_loading::has_due_load(
+            domain,
+            &control.models,
+            &control.fleet,
+        ));
     }
     // Orders may be given only if a call started now ends within the lease.
     if issuer.lease.fencing_token(shared, CALL_TIMEOUT).is_none() {
@@ -109,7 +113,7 @@
     let mut steps: BTreeMap<String, Vec<Step>> = BTreeMap::new();
     let jobs = control.partitions.iter().flat_map(|partition| &partition.index.jobs);
     for (id, job) in jobs {
-        if job.ended || job.is_whole() || control.ending.holds(id) {
+        if job.ended || job.is_whole() || control.ending.is_pending(id) {
             continue;
         }
         let samples = (job.done.len() - job.listed.len()) as u64;
@@ -121,7 +125,7 @@
 
 async fn execute(shared: Rc<Shared>, issuer: Rc<OrderIssuer>, order: Order) {
     let Some(report) = fetch_report(&shared, &order.target).await else {
-        issuer.roll.borrow_mut().failed(&order.target);
+        issuer.roll.borrow_mut().order_failed(&order.target);
         return;
     };
     apply_report(&shared, &order, &report);
@@ -155,7 +159,7 @@
             // An order without an answer may still be carried out: the next
             // report tells.
             sleep(LOAD_CHECK_INTERVAL).await;
-            issuer.roll.borrow_mut().failed(&order.target);
+            issuer.roll.borrow_mut().order_failed(&order.target);
             return;
         }
     }
@@ -170,19 +174,20 @@
         }
         sleep(LOAD_CHECK_INTERVAL).await;
     }
-    issuer.roll.borrow_mut().failed(&order.target);
+    issuer.roll.borrow_mut().order_failed(&order.target);
 }
 
 fn apply_report(shared: &Shared, order: &Order, report: &crate::entry::codec::Report) {
     let control = &mut *shared.control.borrow_mut();
-    if control.fleet.started(&order.target, report.born)
-        && let Some(address) = control.fleet.targets.get(&order.target).map(|t| t.said.address)
+    if control.fleet.record_start(&order.target, report.born)
+        && let Some(address) =
+            control.fleet.targets.get(&order.target).map(|t| t.announcement.address)
     {
         shared.reset_target(control, &order.target, address);
     }
-    let born = control.fleet.targets.get(&order.target).and_then(|target| target.said.born);
+    let born = control.fleet.targets.get(&order.target).and_then(|target| target.announcement.born);
     for (model, version) in &report.versions {
-        control.fleet.answered(&order.target, born, model, *version);
+        control.fleet.record_version(&order.target, born, model, *version);
     }
 }
 
@@ -210,7 +215,7 @@
 ) -> Option<(http::StatusCode, Bytes)> {
     let address = {
         let control = shared.control.borrow();
-        control.fleet.targets.get(target).map(|target| target.said.address)
+        control.fleet.targets.get(target).map(|target| target.announcement.address)
     }?;
     let request = Request::builder()
         .method(method)
--- a/crates/hollywell/src/entry/outbox.rs
+++ b/crates/hollywell/src/entry/outbox.rs
@@ -18,8 +18,8 @@
 use crate::{
     core::{
         batch::{self, Outcome, Partial, TextRef},
+        capacity::Purpose,
         dispatch::Slot,
-        room::Use,
     },
     entry::{
         run::GeneratedText,
@@ -118,7 +118,7 @@
     };
     let keyed: Vec<(String, Bytes)> = waiting.iter().map(record).collect();
     let records = keyed.iter().map(|(key, text)| (Some(key.clone()), text.clone())).collect();
-    let (at, purpose) = (Partition::at(TEXTS, part), Use::Text);
+    let (at, purpose) = (Partition::at(TEXTS, part), Purpose::Text);
     let append = Append { part: at, records, expected_end: None, purpose };
     let appended = shared.append(append).await;
     if matches!(appended, Err(StoreError::OutcomeUnknown(_))) {
@@ -148,7 +148,7 @@
         let (key, value) = batch::outcome_record(&slot.job, &shared.unique_key_part(), outcome);
         records.push((Some(key), value));
     }
-    let (at, purpose) = (Partition::at(JOBS, part), Use::Outcome);
+    let (at, purpose) = (Partition::at(JOBS, part), Purpose::Outcome);
     let append = Append { part: at, records, expected_end: None, purpose };
     let appended = shared.append(append).await?;
     for (Entry { slot, outcome, .. }, offset) in entries.iter().zip(appended.offset..) {
@@ -247,7 +247,7 @@
     let keys: Vec<String> = grown_texts.iter().map(key).collect();
     let records = keys.iter().zip(grown_texts);
     let records = records.map(|(key, grown)| (Some(key.clone()), grown.new_text.clone())).collect();
-    let (at, purpose) = (Partition::at(TEXTS, part), Use::Unfinished);
+    let (at, purpose) = (Partition::at(TEXTS, part), Purpose::PartialText);
     let append = Append { part: at, records, expected_end: None, purpose };
     let appended = shared.append(append).await;
     if matches!(appended, Err(StoreError::OutcomeUnknown(_))) {
--- a/crates/hollywell/src/entry/relay.rs
+++ b/crates/hollywell/src/entry/relay.rs
@@ -139,7 +139,7 @@
 /// Keeps a partition's newest records, so old by now, for others of the
 /// failure domain.
 pub fn keep(shared: &Shared, part: &Partition, read: &Records, age_ms: u64) {
-    if relay::is_used(shared.control.borrow().roster.members(), &shared.instance_id) {
+    if relay::has_relays(shared.control.borrow().roster.members(), &shared.instance_id) {
         let body = Bytes::from(Snapshot::new(read).encode_to_vec());
         let cached = CachedSnapshot { body, age_ms, cached_at: shared.now() };
         shared.relay.cached.borrow_mut().insert(part.clone(), cached);
@@ -190,7 +190,7 @@
     loop {
         let (is_settled, is_known) = {
             let control = shared.control.borrow();
-            (control.census.is_settled(), !control.roster.members().is_empty())
+            (control.group_size.is_settled(), !control.roster.members().is_empty())
         };
         let most = if is_known { ALL_MEMBERS_TIMEOUT } else { FIRST_MEMBER_TIMEOUT };
         if is_settled || started.elapsed() >= most {
--- a/crates/hollywell/src/entry/run.rs
+++ b/crates/hollywell/src/entry/run.rs
@@ -69,7 +69,7 @@
 pub fn start(shared: &Rc<Shared>, run: Run, slot: Slot, target: &str, priority: u8) {
     let announcement = {
         let control = shared.control.borrow();
-        control.fleet.targets.get(target).map(|target| target.said.clone())
+        control.fleet.targets.get(target).map(|target| target.announcement.clone())
     };
     let Some(announcement) = announcement else {
         let shared = shared.clone();
@@ -216,7 +216,7 @@
     let headers = &shared.codec.headers;
     if let Some(load) = answer.header(&headers.load).and_then(shared.codec.load) {
         let now = shared.now();
-        shared.control.borrow_mut().observations.load(now, &target.id, load);
+        shared.control.borrow_mut().observations.record_load(now, &target.id, load);
     }
     match answer.head.status {
         StatusCode::OK => stream(shared, run, slot, target, digest, answer).await,
@@ -283,7 +283,7 @@
     /// Records that the target serves a version of the model.
     fn saw(&self, version: u64) {
         let Announcement { id, born, .. } = self.target;
-        self.shared.control.borrow_mut().fleet.answered(id, *born, &self.model, version);
+        self.shared.control.borrow_mut().fleet.record_version(id, *born, &self.model, version);
     }
 
     /// Appends one complete event to the sample's text. `version` is the version
@@ -312,7 +312,7 @@
             text.append(&chunk, version);
         }
         suspects::record_served(self.shared, || self.digest);
-        self.shared.handle_event(&Event::Piece { run: self.run });
+        self.shared.handle_event(&Event::StreamEvent { run: self.run });
         Ok(())
     }
 }
@@ -357,7 +357,7 @@
     if version.is_some_and(|version| version < context.min_version) {
         return Err(End::WrongVersion);
     }
-    context.shared.handle_event(&Event::Head { run: context.run });
+    context.shared.handle_event(&Event::AnswerStarted { run: context.run });
     let mut splitter = EventSplitter::default();
     while let Some(data) = answer.chunk().await.map_err(|error| context.broken(&error))? {
         splitter.push(&data);
--- a/crates/hollywell/src/entry/shared.rs
+++ b/crates/hollywell/src/entry/shared.rs
@@ -18,18 +18,18 @@
     clock::Clock,
     core::{
         batch::{self, Book, Bundle, Change, Record, Written},
-        choice::Sights,
+        capacity,
+        choice::Observations,
+        configuration::{Configuration, RouteKind},
         dispatch::{self, Effect, Event, Run, Slot, Work},
         ending,
         fleet::{Announcement, Fleet},
-        group::Census,
-        plan::{Plan, Repeat},
+        group::GroupSize,
         poison,
-        roll::Models,
-        room,
         roster::Roster,
         time::Time,
         turn::Turns,
+        weight_loading::Models,
     },
     entry::{
         codec::Codec,
@@ -72,7 +72,7 @@
     /// The jobs.
     pub index: Book,
     /// The logs of jobs and of texts.
-    pub logs: [room::Log; 2],
+    pub logs: [capacity::Log; 2],
     /// The offset to read next.
     pub next: u64,
     /// The partition was read from its beginning.
@@ -93,7 +93,7 @@
     fn is_stale(&self, now: Time, fleet: &Fleet) -> bool {
         match self.read_at {
             None => self.loaded,
-            Some(read_at) => !fleet.store_away && now.since(read_at) > STALE_MS,
+            Some(read_at) => !fleet.store_unavailable && now.since(read_at) > STALE_MS,
         }
     }
 
@@ -101,8 +101,8 @@
     fn note(&mut self, now: Time) {
         let written = self.index.written;
         let before = std::mem::replace(&mut self.noted, written);
-        self.logs[0].note(now, self.next, written.jobs - before.jobs);
-        self.logs[1].note(now, written.texts_end, written.texts - before.texts);
+        self.logs[0].record(now, self.next, written.jobs - before.jobs);
+        self.logs[1].record(now, written.texts_end, written.texts - before.texts);
     }
 }
 
@@ -110,14 +110,14 @@
 #[derive(Debug)]
 pub struct Control {
     /// The configuration in force, once one was read.
-    pub configuration: Option<Rc<Plan>>,
+    pub configuration: Option<Rc<Configuration>>,
     /// When the operator's topic was as this instance knows it; `None` before
     /// it was read.
     pub configuration_read_at: Option<Time>,
     /// The targets.
     pub fleet: Fleet,
     /// What was seen of them.
-    pub observations: Sights,
+    pub observations: Observations,
     /// What runs where.
     pub dispatch: dispatch::State,
     /// Ends that are not in the store yet.
@@ -127,9 +127,9 @@
     /// What others know against requests was read.
     pub poison_loaded: bool,
     /// What is known of the store's room.
-    pub capacity: room::State,
+    pub capacity: capacity::State,
     /// Logs that others write to: the operator, the targets, all instances.
-    pub other_logs: HashMap<Partition, room::Log>,
+    pub other_logs: HashMap<Partition, capacity::Log>,
     /// Batch jobs, by partition.
     pub partitions: Vec<JobPartition>,
     /// Newest weights of each model, and how much of it is asked for.
@@ -145,7 +145,7 @@
     /// Live instances.
     pub roster: Roster,
     /// How many of them there are, as far as the store shows.
-    pub census: Census,
+    pub group_size: GroupSize,
     /// Since when it has failed, if the last call failed.
     pub store_failing_since: Option<Time>,
     /// Targets were read to the end of their topic.
@@ -161,7 +161,7 @@
     pub fn is_sample_open(&self, part: usize, slot: &Slot) -> bool {
         let job = self.partitions[part].index.jobs.get(&slot.job);
         let open = job.is_some_and(|job| !job.ended && !job.done[slot.at]);
-        open && !self.ending.holds(&slot.job)
+        open && !self.ending.is_pending(&slot.job)
     }
 
     /// Whether what is known of a partition of jobs is out of date.
@@ -274,7 +274,7 @@
         let mut control = self.control.borrow_mut();
         if well {
             let since = control.store_failing_since.take();
-            control.fleet.store(now, false);
+            control.fleet.record_store_state(now, false);
             self.reader.set_store_unavailable(false);
             if since.is_some_and(|since| now.since(since) > AWAY_MS) {
                 log::info!("store regained");
@@ -283,10 +283,10 @@
         }
         let since = *control.store_failing_since.get_or_insert(now);
         let away = now.since(since) > AWAY_MS;
-        if away && !control.fleet.store_away {
+        if away && !control.fleet.store_unavailable {
             log::warn!("store lost: no good answer for {} ms", now.since(since));
         }
-        control.fleet.store(now, away);
+        control.fleet.record_store_state(now, away);
         self.reader.set_store_unavailable(away);
     }
 
@@ -319,7 +319,7 @@
             Err(fault) => {
                 if *fault == StoreError::Full {
                     let now = self.now();
-                    self.control.borrow_mut().capacity.refused(now);
+                    self.control.borrow_mut().capacity.record_refusal(now);
                 }
                 self.meters.failed_appends.with_label_values(&[purpose, fault.as_str()]).inc();
             }
@@ -332,7 +332,7 @@
     /// runs are moved by the reducer.
     pub fn reset_target(&self, control: &mut Control, id: &str, address: std::net::SocketAddr) {
         log::info!("target {id}, at {address}, has started again");
-        control.observations.forget(id);
+        control.observations.reset(id);
         self.pool.forget(address);
     }
 
@@ -393,13 +393,13 @@
     pub fn account_for_read(&self, part: &Partition, read: &Records) {
         let bytes = |record: &Record| {
             (record.key.len() + record.value.as_ref().map_or(0, Bytes::len)) as u64
-                + room::LOG_OVERHEAD
+                + capacity::LOG_OVERHEAD
         };
         let written = read.records.iter().map(bytes).sum();
         let last = read.records.last().map_or(0, |record| record.offset + 1);
         let now = self.now();
         let mut control = self.control.borrow_mut();
-        control.other_logs.entry(part.clone()).or_default().note(now, last, written);
+        control.other_logs.entry(part.clone()).or_default().record(now, last, written);
     }
 
     /// Folds records of a partition of jobs, skipping those folded before.
@@ -506,12 +506,12 @@
             let Some(job) = control.partitions[part].index.jobs.get(&id) else {
                 return;
             };
-            if job.ended || job.is_whole() || control.ending.holds(&id) {
+            if job.ended || job.is_whole() || control.ending.is_pending(&id) {
                 return;
             }
             let plan = control.configuration.clone();
             let route = plan.as_ref().and_then(|plan| plan.route(&job.head.host, &job.head.path));
-            let Some(route) = route.filter(|route| route.repeat == Repeat::Batch) else {
+            let Some(route) = route.filter(|route| route.kind == RouteKind::Batch) else {
                 control.unopened_jobs.push(id);
                 return;
             };
@@ -529,7 +529,7 @@
                 done: job.done.clone(),
             };
             let tokens = head.samples.iter().map(|sample| u64::from(sample.tokens)).sum();
-            control.models.asked(&head.model, tokens, head.samples.len() as u64);
+            control.models.record_step(&head.model, tokens, head.samples.len() as u64);
             work.samples = resume::items(&mut control.partitions, part, &work.job, &head);
             work
         };
--- a/crates/hollywell/tests/dispatch.rs
+++ b/crates/hollywell/tests/dispatch.rs
@@ -6,8 +6,8 @@
 use std::collections::BTreeMap;
 
 use hollywell::core::{
-    choice::Sights,
-    dispatch::{Effect, End, Event, Item, Leave, Run, Slot, State, Work, owner},
+    choice::Observations,
+    dispatch::{Effect, End, Event, Item, MoveReason, Run, Slot, State, Work, owner},
     fleet::{Announcement, Fleet},
     time::Time,
 };
@@ -15,7 +15,7 @@
 struct World {
     state: State,
     fleet: Fleet,
-    sights: Sights,
+    observations: Observations,
 }
 
 fn target(id: &str, version: u64) -> Announcement {
@@ -58,8 +58,13 @@
     for target in targets {
         fleet.announce(Time(1), target.clone());
     }
-    let mut world = World { state: State::new("me"), fleet, sights: Sights::default() };
-    world.state.step(Time(0), &Event::Members(vec!["me".into()]), &world.fleet, &mut world.sights);
+    let mut world = World { state: State::new("me"), fleet, observations: Observations::default() };
+    world.state.step(
+        Time(0),
+        &Event::Members(vec!["me".into()]),
+        &world.fleet,
+        &mut world.observations,
+    );
     world
 }
 
@@ -68,15 +73,15 @@
     let mut world = world(&[target("a", 1)]);
     world.state = State::new("me");
     let opened = Event::Opened(work("j", &[10, 20]));
-    assert_eq!(world.state.step(Time(1), &opened, &world.fleet, &mut world.sights), []);
+    assert_eq!(world.state.step(Time(1), &opened, &world.fleet, &mut world.observations), []);
     let members = Event::Members(vec!["me".into()]);
-    let started = world.state.step(Time(2), &members, &world.fleet, &mut world.sights);
+    let started = world.state.step(Time(2), &members, &world.fleet, &mut world.observations);
     assert_eq!(started.len(), 2, "{started:?}");
 }
 
 impl World {
     fn step(&mut self, now: u64, event: &Event) -> Vec<Effect> {
-        self.state.step(Time(now), event, &self.fleet, &mut self.sights)
+        self.state.step(Time(now), event, &self.fleet, &mut self.observations)
     }
 }
 
@@ -159,13 +164,14 @@
 fn a_silent_stream_moves_only_while_another_engine_has_a_free_place() {
     let mut world = world(&[target("a", 1)]);
     let (run, _, _) = starts(&world.step(10, &Event::Opened(work("j", &[100]))))[0].clone();
-    world.step(20, &Event::Head { run });
+    world.step(20, &Event::AnswerStarted { run });
     assert!(world.step(500, &Event::Tick).is_empty(), "there is nowhere to go");
     world.fleet.announce(Time(500), target("b", 1));
     let effects = world.step(520, &Event::Tick);
     assert!(effects.contains(&Effect::Cancel(run)), "{effects:?}");
     assert_eq!(starts(&effects)[0].2, "b");
-    let stalled = |effect: &Effect| matches!(effect, Effect::Moved { why: Leave::Stalled, .. });
+    let stalled =
+        |effect: &Effect| matches!(effect, Effect::Moved { why: MoveReason::Stalled, .. });
     assert!(effects.iter().any(stalled));
 }
 
@@ -176,12 +182,12 @@
         let started = starts(&world.step(10, &Event::Opened(work("j", &[5_000]))));
         world.fleet.announce(Time(20), target("b", 1));
         let run = started[0].0;
-        world.step(20, &Event::Head { run });
+        world.step(20, &Event::AnswerStarted { run });
         for n in 0..10 {
-            world.step(20 + n * 100, &Event::Piece { run });
+            world.step(20 + n * 100, &Event::StreamEvent { run });
         }
         // The other engine is known to be three times as fast.
-        (0..10).for_each(|_| world.sights.pace("b", 30.0));
+        (0..10).for_each(|_| world.observations.record_event_gap("b", 30.0));
         let members = members.iter().map(|member| (*member).to_owned()).collect();
         world.step(921, &Event::Members(members));
         world.step(921, &Event::Stale { part: 0, stale });
@@ -197,7 +203,7 @@
 fn a_run_leaves_an_engine_that_is_gone() {
     let mut world = world(&[target("a", 1), target("b", 1)]);
     let (run, _, at) = starts(&world.step(10, &Event::Opened(work("j", &[100]))))[0].clone();
-    world.fleet.vanish(Time(20), &at);
+    world.fleet.record_expiry(Time(20), &at);
     let effects = world.step(20, &Event::Tick);
     assert!(effects.contains(&Effect::Cancel(run)), "{effects:?}");
     assert_ne!(starts(&effects)[0].2, at);
@@ -259,7 +265,7 @@
 fn a_run_begins_anew_after_a_text_that_is_well_ahead_of_its_own() {
     let mut world = world(&[target("a", 1)]);
     let (run, _, _) = starts(&world.step(10, &Event::Opened(work("j", &[100]))))[0].clone();
-    world.step(20, &Event::Piece { run });
+    world.step(20, &Event::StreamEvent { run });
     assert!(world.step(30, &Event::Ahead { slot: slot("j", 0), last: 5 }).is_empty());
     let effects = world.step(40, &Event::Ahead { slot: slot("j", 0), last: 60 });
     assert!(effects.contains(&Effect::Cancel(run)), "{effects:?}");
