--- a/crates/hollywell/src/entry/caller.rs
+++ b/crates/hollywell/src/entry/caller.rs
@@ -79,16 +79,16 @@
 /// The route of a request and its caller, under one configuration.
 fn for_route(
     shared: &Shared,
-    plan: &Configuration,
+    configuration: &Configuration,
     host: &str,
     path: &str,
     headers: &HeaderMap,
 ) -> Result<(Route, Caller), Kind> {
-    let Some(route) = plan.route(host, path).cloned() else {
-        log::info!("no route for {host} {path} in configuration {}", plan.version);
+    let Some(route) = configuration.route(host, path).cloned() else {
+        log::info!("no route for {host} {path} in configuration {}", configuration.version);
         return Err(Kind::NoRoute);
     };
-    let caller = match &plan.organisations {
+    let caller = match &configuration.organisations {
         None => Caller::Unrestricted,
         Some(_) if route.public => Caller::Anonymous,
         Some(directory) => {
@@ -101,16 +101,16 @@
 /// The caller of an operation on a job of a host, under one configuration.
 fn for_job(
     shared: &Shared,
-    plan: &Configuration,
+    configuration: &Configuration,
     host: &str,
     headers: &HeaderMap,
 ) -> Result<Caller, Kind> {
-    let Some(directory) = &plan.organisations else {
+    let Some(directory) = &configuration.organisations else {
         return Ok(Caller::Unrestricted);
     };
     match organisation(shared, directory, headers) {
         Ok(organisation) => Ok(Caller::Organisation(organisation.name.clone())),
-        Err(_) if plan.has_public_jobs(host) => Ok(Caller::Anonymous),
+        Err(_) if configuration.has_public_jobs(host) => Ok(Caller::Anonymous),
         Err(kind) => Err(kind),
     }
 }
@@ -128,7 +128,10 @@
     path: &str,
     headers: &HeaderMap,
 ) -> Result<(Route, Caller), Kind> {
-    with_current_configuration(shared, |plan| for_route(shared, plan, host, path, headers)).await
+    with_current_configuration(shared, |configuration| {
+        for_route(shared, configuration, host, path, headers)
+    })
+    .await
 }
 
 /// The caller of an operation on a job, under a configuration that is fresh
@@ -139,7 +142,10 @@
 /// As [`identify_for_route`].
 pub async fn identify_for_job(shared: &Rc<Shared>, headers: &HeaderMap) -> Result<Caller, Kind> {
     let host = headers.get(header::HOST).and_then(|host| host.to_str().ok()).unwrap_or("");
-    with_current_configuration(shared, |plan| for_job(shared, plan, host, headers)).await
+    with_current_configuration(shared, |configuration| {
+        for_job(shared, configuration, host, headers)
+    })
+    .await
 }
 
 async fn with_current_configuration<T>(
@@ -149,10 +155,10 @@
     let deadline = Instant::now() + CONFIGURATION_WAIT;
     loop {
         let refreshed = shared.configuration_read.notified();
-        let plan = shared.control.borrow().configuration.clone().ok_or(Kind::StoreAway)?;
+        let configuration = shared.control.borrow().configuration.clone().ok_or(Kind::StoreAway)?;
         let current = is_current(shared);
-        match identify(&plan) {
-            Ok(identified) if !is_too_old(shared, &plan) => return Ok(identified),
+        match identify(&configuration) {
+            Ok(identified) if !is_too_old(shared, &configuration) => return Ok(identified),
             Err(kind) if current => return Err(kind),
             Ok(_) | Err(_) => {}
         }
@@ -172,10 +178,10 @@
 
 /// Whether the configuration is too old to accept an API key, which may have
 /// been revoked since.
-fn is_too_old(shared: &Shared, plan: &Configuration) -> bool {
+fn is_too_old(shared: &Shared, configuration: &Configuration) -> bool {
     let Some(revoke) = shared.settings.times.revoke else {
         return false;
     };
     let age_ms = configuration::age_ms(shared).unwrap_or(u64::MAX);
-    plan.organisations.is_some() && u128::from(age_ms) > revoke.as_millis()
+    configuration.organisations.is_some() && u128::from(age_ms) > revoke.as_millis()
 }
--- a/crates/hollywell/src/entry/configuration.rs
+++ b/crates/hollywell/src/entry/configuration.rs
@@ -34,7 +34,7 @@
 /// Peers that are asked at a time: one of them may be out of date for the same
 /// reason.
 const PEERS_PER_ROUND: usize = 3;
-/// Time-out of a peer's response.
+/// Timeout of a peer's response.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(400);
 /// Limit on a peer's response, in bytes: enough for thousands of organisations.
 const MAX_RESPONSE_BYTES: usize = 16 << 20;
@@ -47,9 +47,11 @@
     /// The configuration's version.
     version: u64,
     /// The configuration, if it is newer than the requester's.
-    plan: Option<Configuration>,
+    #[serde(rename = "plan")]
+    configuration: Option<Configuration>,
     /// The newest version of each model's weights.
-    named: BTreeMap<String, u64>,
+    #[serde(rename = "named")]
+    newest_versions: BTreeMap<String, u64>,
     /// Failure domains that are evacuated; `None` from a peer that does not
     /// report them.
     #[serde(default)]
@@ -57,13 +59,13 @@
 }
 
 /// Puts a configuration in force if it is newer than the current one.
-pub(super) fn adopt(shared: &Shared, plan: Configuration, from: &str) {
+pub(super) fn adopt(shared: &Shared, configuration: Configuration, from: &str) {
     let mut control = shared.control.borrow_mut();
-    let before = control.configuration.as_ref().map_or(0, |plan| plan.version);
-    if plan.version > before {
-        log::info!("configuration {} in force, was {before}, from {from}", plan.version);
-        control.fleet.configure(plan.pools.iter().map(|pool| pool.name.as_str()));
-        control.configuration = Some(Rc::new(plan));
+    let before = control.configuration.as_ref().map_or(0, |configuration| configuration.version);
+    if configuration.version > before {
+        log::info!("configuration {} in force, was {before}, from {from}", configuration.version);
+        control.fleet.configure(configuration.pools.iter().map(|pool| pool.name.as_str()));
+        control.configuration = Some(Rc::new(configuration));
     }
 }
 
@@ -144,11 +146,11 @@
     let requested_at = shared.now();
     match request(&shared, &peer).await {
         Ok(message) => {
-            if let Some(plan) = message.plan {
-                adopt(&shared, plan, &peer);
+            if let Some(configuration) = message.configuration {
+                adopt(&shared, configuration, &peer);
             }
             message
-                .named
+                .newest_versions
                 .iter()
                 .for_each(|(model, version)| adopt_version(&shared, model, *version));
             let known_at = Time(requested_at.0.saturating_sub(message.age_ms));
@@ -158,8 +160,12 @@
                 replace_evacuated(&shared, &evacuated, |_| false);
             }
             // The peer's age applies only if all that it knew was adopted.
-            let version =
-                shared.control.borrow().configuration.as_ref().map_or(0, |plan| plan.version);
+            let version = shared
+                .control
+                .borrow()
+                .configuration
+                .as_ref()
+                .map_or(0, |configuration| configuration.version);
             if version >= message.version {
                 mark_current(&shared, known_at);
             }
@@ -170,10 +176,16 @@
 }
 
 async fn request(shared: &Shared, peer: &str) -> Result<Message, String> {
-    let own_version = shared.control.borrow().configuration.as_ref().map_or(0, |plan| plan.version);
-    let answer = peers::get(shared, peer, &format!("{PATH}{own_version}"), REQUEST_TIMEOUT).await?;
-    let status = answer.head.status;
-    let body = answer
+    let own_version = shared
+        .control
+        .borrow()
+        .configuration
+        .as_ref()
+        .map_or(0, |configuration| configuration.version);
+    let response =
+        peers::get(shared, peer, &format!("{PATH}{own_version}"), REQUEST_TIMEOUT).await?;
+    let status = response.head.status;
+    let body = response
         .read_body(MAX_RESPONSE_BYTES, REQUEST_TIMEOUT)
         .await
         .map_err(|error| error.to_string())?;
@@ -193,12 +205,20 @@
         return peers::empty_response(StatusCode::SERVICE_UNAVAILABLE);
     };
     let control = shared.control.borrow();
-    let version = control.configuration.as_ref().map_or(0, |plan| plan.version);
-    let plan =
-        control.configuration.as_deref().filter(|plan| plan.version > requester_version).cloned();
+    let version = control.configuration.as_ref().map_or(0, |configuration| configuration.version);
+    let configuration = control
+        .configuration
+        .as_deref()
+        .filter(|configuration| configuration.version > requester_version)
+        .cloned();
     let evacuated = Some(control.fleet.evacuated().clone());
-    let message =
-        Message { age_ms, version, plan, named: control.models.newest.clone(), evacuated };
+    let message = Message {
+        age_ms,
+        version,
+        configuration,
+        newest_versions: control.models.newest.clone(),
+        evacuated,
+    };
     match serde_json::to_vec(&message) {
         Ok(bytes) => Response::new(Full::new(bytes.into())),
         Err(error) => {
--- a/crates/hollywell/src/entry/exchange.rs
+++ b/crates/hollywell/src/entry/exchange.rs
@@ -29,18 +29,18 @@
 
 use crate::clock::since_boot;
 
-/// Time-out for opening a connection. Round trips take milliseconds, but a lost
+/// Timeout for opening a connection. Round trips take milliseconds, but a lost
 /// packet is retransmitted only after one second.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
-/// Time-out for checking whether a target has exited. An address without a
+/// Timeout for checking whether a target has exited. An address without a
 /// listener refuses a connection within a round trip, and a caller is waiting.
 const EXIT_CHECK_TIMEOUT: Duration = Duration::from_millis(150);
-/// Fraction of the peer's idle time-out after which a pooled connection is no
+/// Fraction of the peer's idle timeout after which a pooled connection is no
 /// longer used, so that a request does not race with the peer's close.
 const IDLE_FRACTION: f64 = 0.7;
 /// How long a connection is pooled that was opened but not used.
 const UNUSED_TIMEOUT: Duration = Duration::from_secs(1);
-/// Idle time-out if the peer states none.
+/// Idle timeout if the peer states none.
 const DEFAULT_IDLE: Duration = Duration::from_secs(4);
 
 /// Why an exchange failed.
@@ -56,7 +56,7 @@
     StaleConnection,
     /// Something was sent, but no complete response arrived.
     Broken(String),
-    /// The time-out elapsed before the complete response arrived.
+    /// The timeout elapsed before the complete response arrived.
     TimedOut,
     /// The request was not sent, because it was no longer allowed or needed when
     /// a connection was available.
@@ -364,7 +364,7 @@
             .and_then(|value| value.split("timeout=").nth(1))
             .and_then(|value| value.split([',', ' ']).next()?.parse::<u64>().ok());
         let idle = stated.map_or(DEFAULT_IDLE, Duration::from_secs);
-        log::debug!("connection to {} pooled, idle time-out {stated:?}", self.address);
+        log::debug!("connection to {} pooled, idle timeout {stated:?}", self.address);
         self.pool.keep(self.address, sender, idle.mul_f64(IDLE_FRACTION));
     }
 }
--- a/crates/hollywell/src/entry/forward.rs
+++ b/crates/hollywell/src/entry/forward.rs
@@ -37,10 +37,10 @@
 /// Limit on the requests at a target, as a multiple of its slots. Plain
 /// services reject requests that they cannot start soon.
 const MAX_LOAD: f64 = 3.0;
-/// Time-out of an attempt at a request that is safe to repeat, as a multiple of
+/// Timeout of an attempt at a request that is safe to repeat, as a multiple of
 /// the route's target latency; then the request is retried at another target.
 const ATTEMPT_TIMEOUT_FACTOR: u64 = 3;
-/// Lower and upper bound of that time-out, in milliseconds.
+/// Lower and upper bound of that timeout, in milliseconds.
 const ATTEMPT_TIMEOUT_MS: (u64, u64) = (250, 1_000);
 /// Part of the deadline that is reserved for the response to reach the caller,
 /// in milliseconds.
@@ -410,7 +410,7 @@
 struct SendAttempt<'a> {
     plain: &'a PlainRequest,
     target: &'a Announcement,
-    /// Time-out of the attempt, in milliseconds.
+    /// Timeout of the attempt, in milliseconds.
     limit_ms: u64,
     /// Time left until the caller's deadline, in milliseconds.
     left_ms: u64,
@@ -433,11 +433,11 @@
         may_send_to
     };
     let first = request(shared, plain, target, left_ms);
-    let mut answer = shared.pool.send_if(target.address, first, limit, still_allowed).await;
+    let mut response = shared.pool.send_if(target.address, first, limit, still_allowed).await;
     // The target may simply have closed an idle connection. If the request is
     // safe to repeat and the target is alive, send it again at once on a new
     // connection.
-    let may_have_run = matches!(answer, Err(Error::StaleConnection));
+    let may_have_run = matches!(response, Err(Error::StaleConnection));
     if may_have_run && route.kind == RouteKind::Idempotent {
         record_no_response(shared, plain, target, &Error::StaleConnection);
         if check_exit(shared, attempt).await {
@@ -445,13 +445,13 @@
         }
         shared.pool.forget(target.address);
         let again = request(shared, plain, target, left_ms);
-        answer = shared.pool.send_if(target.address, again, limit, still_allowed).await;
+        response = shared.pool.send_if(target.address, again, limit, still_allowed).await;
     }
-    match answer {
-        Ok(answer) => {
+    match response {
+        Ok(response) => {
             let spent = shared.now().since(started);
             let left = Duration::from_millis(limit_ms.saturating_sub(spent).max(1));
-            read_response(shared, attempt, answer, left).await
+            read_response(shared, attempt, response, left).await
         }
         Err(Error::Cancelled) => {
             if may_have_run {
@@ -501,26 +501,26 @@
 async fn read_response(
     shared: &Rc<Shared>,
     attempt: &SendAttempt<'_>,
-    answer: IncomingResponse,
+    response: IncomingResponse,
     left: Duration,
 ) -> SendOutcome {
     let &SendAttempt { plain, target, .. } = attempt;
     let names = &shared.codec.headers;
     let now = shared.now();
-    if let Some(load) = answer.header(&names.load).and_then(shared.codec.load) {
+    if let Some(load) = response.header(&names.load).and_then(shared.codec.load) {
         shared.control.borrow_mut().observations.record_load(now, &target.id, load);
     }
-    let status = answer.head.status;
-    let not_run = answer.head.headers.contains_key(&names.not_run)
+    let status = response.head.status;
+    let not_run = response.head.headers.contains_key(&names.not_run)
         || status == StatusCode::MISDIRECTED_REQUEST;
     if not_run {
         shared.control.borrow_mut().observations.record_refusal(now, &target.id);
         log::debug!("request {} rejected by {} without running: {status}", plain.id, target.id);
         return SendOutcome::NotRun;
     }
-    let own = answer.header(&names.request_id) == Some(plain.id.as_str());
-    let signed = answer.head.headers.contains_key(&names.signature);
-    if !own || !signed || answer.head.headers.contains_key(header::CONTENT_ENCODING) {
+    let own = response.header(&names.request_id) == Some(plain.id.as_str());
+    let signed = response.head.headers.contains_key(&names.signature);
+    if !own || !signed || response.head.headers.contains_key(header::CONTENT_ENCODING) {
         // Dropping the response closes the connection, whose remaining data
         // cannot be attributed to any request.
         log::info!(
@@ -530,8 +530,8 @@
         );
         return SendOutcome::MayHaveRun;
     }
-    let mut headers = answer.head.headers.clone();
-    match answer.read_body(MAX_RESPONSE_BYTES, left).await {
+    let mut headers = response.head.headers.clone();
+    match response.read_body(MAX_RESPONSE_BYTES, left).await {
         Ok(body) => {
             for name in HOP_BY_HOP.iter().chain([&header::CONTENT_LENGTH]) {
                 headers.remove(name);
@@ -547,7 +547,7 @@
     }
 }
 
-/// The result of an attempt whose exchange failed. A time-out alone does not
+/// The result of an attempt whose exchange failed. A timeout alone does not
 /// mean that the target exited.
 async fn failed_exchange(
     shared: &Rc<Shared>,
--- a/crates/hollywell/src/entry/ingress.rs
+++ b/crates/hollywell/src/entry/ingress.rs
@@ -33,7 +33,7 @@
     error::Kind,
 };
 
-/// Idle time-out of callers' connections until a configuration is loaded, in
+/// Idle timeout of callers' connections until a configuration is loaded, in
 /// milliseconds.
 const DEFAULT_IDLE_MS: u64 = 15_000;
 /// Limit on request bodies where the configuration sets none, in bytes.
@@ -101,10 +101,9 @@
     }
     let idle_ms = {
         let control = shared.control.borrow();
-        control
-            .configuration
-            .as_ref()
-            .map_or(DEFAULT_IDLE_MS, |plan| plan.idle_ms.max(plan.header_ms))
+        control.configuration.as_ref().map_or(DEFAULT_IDLE_MS, |configuration| {
+            configuration.idle_ms.max(configuration.header_ms)
+        })
     };
     let service = service_fn(|request| {
         let (shared, open) = (shared.clone(), open.clone());
@@ -119,7 +118,7 @@
         }
     });
     let mut builder = http1::Builder::new();
-    // hyper's time-out for reading a head starts when the previous response
+    // hyper's timeout for reading a head starts when the previous response
     // ends, so it has to cover the connection's idle time as well.
     builder.timer(TokioTimer::new()).header_read_timeout(Duration::from_millis(idle_ms.max(1)));
     builder.keep_alive(true).max_buf_size(64 << 10);
@@ -215,8 +214,9 @@
     let gauge = |value: usize| i64::try_from(value).unwrap_or(i64::MAX);
     {
         let control = shared.control.borrow();
-        let plan = control.configuration.as_ref().map_or(0, |plan| plan.version);
-        meters.configuration_version.set(i64::try_from(plan).unwrap_or(i64::MAX));
+        let version =
+            control.configuration.as_ref().map_or(0, |configuration| configuration.version);
+        meters.configuration_version.set(i64::try_from(version).unwrap_or(i64::MAX));
         meters.members.set(gauge(control.roster.members().len()));
         meters.in_flight.set(gauge(control.dispatch.in_flight()));
     }
@@ -257,17 +257,21 @@
             Ok(identified) => identified,
             Err(kind) => return refuse(shared, kind),
         };
-    let Some(plan) = loaded_configuration(shared) else {
+    let Some(configuration) = loaded_configuration(shared) else {
         return refuse(shared, Kind::StoreAway);
     };
     let names = &shared.codec.headers;
-    if plan.organisations.is_some() {
+    if configuration.organisations.is_some() {
         // Targets must not see the API key, and a caller must not choose the
         // organisation that targets are told.
         head.headers.remove(header::AUTHORIZATION);
         head.headers.remove(&names.organisation);
     }
-    let limit = if plan.body_bytes == 0 { DEFAULT_MAX_BODY_BYTES } else { plan.body_bytes };
+    let limit = if configuration.body_bytes == 0 {
+        DEFAULT_MAX_BODY_BYTES
+    } else {
+        configuration.body_bytes
+    };
     let body = match Limited::new(body, limit).collect().await {
         Ok(body) => body.to_bytes(),
         Err(error) => {
@@ -299,12 +303,12 @@
         usage_window: Cell::new(None),
         digest: OnceCell::new(),
     };
-    forwarded(shared, &plan, &route, &request).await
+    forwarded(shared, &configuration, &route, &request).await
 }
 
 async fn forwarded(
     shared: &Rc<Shared>,
-    plan: &Configuration,
+    configuration: &Configuration,
     route: &Route,
     request: &PlainRequest,
 ) -> HttpResponse {
@@ -320,7 +324,7 @@
             log::info!(
                 "request {} refused under configuration {}: {}",
                 request.id,
-                plan.version,
+                configuration.version,
                 kind.as_str()
             );
             let refusal = refuse(shared, kind);
--- a/crates/hollywell/src/entry/jobs.rs
+++ b/crates/hollywell/src/entry/jobs.rs
@@ -469,8 +469,10 @@
             shared.handle_event(&Event::Scored(slot));
             return;
         };
-        let plan = shared.control.borrow().configuration.clone();
-        let route = plan.as_ref().and_then(|plan| plan.route(&scorer.host, &scorer.path));
+        let configuration = shared.control.borrow().configuration.clone();
+        let route = configuration
+            .as_ref()
+            .and_then(|configuration| configuration.route(&scorer.host, &scorer.path));
         let Some(mut route) = route.cloned() else {
             sleep(SCORE_RETRY_DELAY).await;
             continue;
--- a/crates/hollywell/src/entry/run.rs
+++ b/crates/hollywell/src/entry/run.rs
@@ -29,7 +29,7 @@
     },
 };
 
-/// Time-out of a run. A stream that stalls is cancelled long before that.
+/// Timeout of a run. A stream that stalls is cancelled long before that.
 const RUN_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// The text of a sample, as far as it was generated.
@@ -204,8 +204,8 @@
 ) -> End {
     let still_allowed = || shared.may_send(slot) && shared.may_send_to(target);
     let sent = shared.pool.send_if(target.address, request, RUN_TIMEOUT, still_allowed).await;
-    let answer = match sent {
-        Ok(answer) => answer,
+    let response = match sent {
+        Ok(response) => response,
         Err(Error::Cancelled) => return End::Unready,
         Err(Error::StaleConnection) => return End::Stale,
         Err(error) => {
@@ -214,17 +214,17 @@
         }
     };
     let headers = &shared.codec.headers;
-    if let Some(load) = answer.header(&headers.load).and_then(shared.codec.load) {
+    if let Some(load) = response.header(&headers.load).and_then(shared.codec.load) {
         let now = shared.now();
         shared.control.borrow_mut().observations.record_load(now, &target.id, load);
     }
-    match answer.head.status {
-        StatusCode::OK => stream(shared, run, slot, target, digest, answer).await,
+    match response.head.status {
+        StatusCode::OK => stream(shared, run, slot, target, digest, response).await,
         StatusCode::MISDIRECTED_REQUEST => End::Misdirected,
         StatusCode::UNPROCESSABLE_ENTITY => End::Impossible,
         StatusCode::INTERNAL_SERVER_ERROR => End::Failed,
         status => {
-            let was_not_run = answer.head.headers.contains_key(&headers.not_run);
+            let was_not_run = response.head.headers.contains_key(&headers.not_run);
             log::debug!("sample {}/{} at {}: {status}", slot.job, slot.at, target.id);
             if was_not_run { End::Full } else { End::Broken }
         }
@@ -323,7 +323,7 @@
     slot: &Slot,
     target: &Announcement,
     digest: Digest,
-    answer: IncomingResponse,
+    response: IncomingResponse,
 ) -> End {
     let context = {
         let control = shared.control.borrow();
@@ -336,21 +336,21 @@
         let id = job.head.samples[slot.at].id.clone();
         Context { shared, run, slot, target, digest, model, min_version, id }
     };
-    match events(&context, answer).await {
+    match events(&context, response).await {
         Ok(()) => End::Whole,
         Err(end) => end,
     }
 }
 
 /// Reads events until the response ends.
-async fn events(context: &Context<'_>, mut answer: IncomingResponse) -> Result<(), End> {
+async fn events(context: &Context<'_>, mut response: IncomingResponse) -> Result<(), End> {
     let headers = &context.shared.codec.headers;
-    if answer.header(&headers.request_id) != Some(context.id.as_str()) {
+    if response.header(&headers.request_id) != Some(context.id.as_str()) {
         return Err(context.broken(&"the response has another request's id"));
     }
     // A resumed stream whose text was already complete ends without an event
     // and states no version.
-    let mut version = answer.header(&headers.version).and_then(|v| v.parse::<u64>().ok());
+    let mut version = response.header(&headers.version).and_then(|v| v.parse::<u64>().ok());
     if let Some(version) = version {
         context.saw(version);
     }
@@ -359,7 +359,7 @@
     }
     context.shared.handle_event(&Event::AnswerStarted { run: context.run });
     let mut splitter = EventSplitter::default();
-    while let Some(data) = answer.chunk().await.map_err(|error| context.broken(&error))? {
+    while let Some(data) = response.chunk().await.map_err(|error| context.broken(&error))? {
         splitter.push(&data);
         while let Some(event) = splitter.next_event() {
             context.append(&event, &mut version)?;
--- a/crates/hollywell/src/entry/samples.rs
+++ b/crates/hollywell/src/entry/samples.rs
@@ -22,7 +22,7 @@
 
 /// Attempts to append bundles if the outcome of an append is unknown.
 const MAX_ATTEMPTS: u32 = 3;
-/// Time-out for reading a bundle.
+/// Timeout for reading a bundle.
 const READ_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// The request of a sample, read from the store if it is not in memory.
--- a/crates/hollywell/src/entry/unstarted.rs
+++ b/crates/hollywell/src/entry/unstarted.rs
@@ -75,8 +75,9 @@
     if job.ended || is_running_here || !job.listed.is_empty() || !job.partials.is_empty() {
         return None;
     }
-    let plan = control.configuration.as_ref();
-    let route = plan.and_then(|plan| plan.route(&job.head.host, &job.head.path));
+    let configuration = control.configuration.as_ref();
+    let route =
+        configuration.and_then(|configuration| configuration.route(&job.head.host, &job.head.path));
     let pool = route.and_then(|route| route.pools.first());
     let Some((pool, _)) = pool else {
         return Some(Reason::Unrouted);
