--- a/crates/hollywell/src/core/owner/handoff.rs
+++ b/crates/hollywell/src/core/owner/handoff.rs
@@ -1,4 +1,4 @@
-//! What members hand over to each other at a change of the map.
+//! State that members hand over to each other when the map changes.
 
 use std::collections::BTreeSet;
 
@@ -7,29 +7,32 @@
 use super::Map;
 use crate::core::{claim::Copy, id::Instance, time::Time};
 
-/// What a member tells the others when it has read a newer map.
+/// The message that a member sends to the others once it has read a newer map.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Handoff {
-    /// The epoch that it hands over to.
+    /// Epoch of the newer map.
     pub epoch: u64,
-    /// The last epoch in which it was active, if any.
+    /// Last epoch in which the sender was active, if any.
     pub last_active: Option<u64>,
-    /// Incarnations under which the sender was removed earlier in its run.
-    #[serde(default)]
-    pub formerly: Vec<Instance>,
-    /// Replaced maps that it remembers, oldest first.
+    /// Earlier incarnations of the sender's current run, which were removed
+    /// from the map.
+    #[serde(default, rename = "formerly")]
+    pub former_ids: Vec<Instance>,
+    /// Replaced maps that the sender remembers, oldest first.
     pub history: Vec<ReplacedCopy>,
-    /// Keys that may have run.
+    /// Claims on keys that may have run.
     pub copies: Vec<Copy>,
-    /// Keys of which it knows that nobody knows.
-    pub blind: Vec<BlindCopy>,
+    /// Sets of keys whose claims the sender knows to be lost.
+    #[serde(rename = "blind")]
+    pub claim_losses: Vec<ClaimLossCopy>,
 }
 
 /// A map that was replaced.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct Replaced {
     pub(super) map: Map,
-    /// When it was read here, or heard, that it was replaced.
+    /// When this instance read from the log, or was told by a peer, that the
+    /// map was replaced.
     pub(super) at: Time,
 }
 
@@ -42,14 +45,14 @@
     pub ago_ms: u64,
 }
 
-/// Keys whose claims were lost with their owner and deputy.
+/// Keys whose claims were lost together with their owner and replica.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(super) struct Blind {
+pub(super) struct ClaimLoss {
     /// The map in which the claims may have been made.
     pub(super) map: Map,
-    /// The members that handed over.
-    pub(super) heirs: BTreeSet<Instance>,
-    /// When no caller sends those keys any longer.
+    /// The members that handed over their claims.
+    pub(super) sources: BTreeSet<Instance>,
+    /// When callers have stopped retrying these keys.
     pub(super) until: Time,
 }
 
@@ -59,23 +62,24 @@
     }
 }
 
-impl Blind {
-    pub(super) fn copy(&self, now: Time) -> BlindCopy {
-        BlindCopy {
+impl ClaimLoss {
+    pub(super) fn copy(&self, now: Time) -> ClaimLossCopy {
+        ClaimLossCopy {
             map: self.map.clone(),
-            heirs: self.heirs.clone(),
+            sources: self.sources.clone(),
             left_ms: self.until.since(now),
         }
     }
 }
 
-/// [`Blind`] as handed from one instance to another.
+/// A [`ClaimLoss`] as handed from one instance to another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct BlindCopy {
+pub struct ClaimLossCopy {
     /// The map in which the claims may have been made.
     pub map: Map,
-    /// The members that handed over.
-    pub heirs: BTreeSet<Instance>,
-    /// Milliseconds until no caller sends those keys any longer.
+    /// The members that handed over their claims.
+    #[serde(rename = "heirs")]
+    pub sources: BTreeSet<Instance>,
+    /// Milliseconds until callers have stopped retrying these keys.
     pub left_ms: u64,
 }
--- a/crates/hollywell/src/core/reducer/keyed.rs
+++ b/crates/hollywell/src/core/reducer/keyed.rs
@@ -1,13 +1,13 @@
-//! Keyed calls: at most one run for a key, whichever instances its sends
-//! reach.
+//! Keyed calls: a key runs at most once, whichever instances its sends reach.
 //!
-//! The entry sends the call to the key's owner. The owner claims the key,
-//! has its deputy keep a copy, and only then dispatches. Only the owner may
-//! say "not run", and a key refused so is numbered, so that a send that
-//! reached its entry before the refusal never runs after it. Everyone else
-//! says "unknown", after which sending the same key again is safe.
+//! The instance that receives a call, its entry, forwards it to the key's
+//! owner. The owner claims the key, has a replica store a copy of the claim,
+//! and only then dispatches. Only the owner may report "not run". It numbers
+//! each such refusal, so that a send that reached its entry before the refusal
+//! never runs after it. All other instances report "unknown", after which it
+//! is safe to send the same key again.
 
-use super::{Asking, Path, Purpose, State};
+use super::{Path, PendingCopy, Purpose, State};
 use crate::{
     core::{
         claim::{Phase, Verdict},
@@ -23,15 +23,15 @@
 use super::Pending;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// How often a forwarded call is sent to its owner.
-const MOST_FORWARDS: u32 = 3;
-/// Refusals whose times are remembered, to tell which a local caller's send
-/// came after.
-const MOST_REFUSED_AT: usize = 256;
+/// Maximum number of attempts to forward a call to its owner.
+const MAX_FORWARDS: u32 = 3;
+/// Number of refusals whose times are remembered, to determine which of them
+/// precede a local caller's send.
+const MAX_REFUSED_AT: usize = 256;
 
 impl State {
-    /// Takes a keyed call at its entry.
-    pub(super) fn enter_keyed(&mut self, request: Request, arrived: Time, key: &str) {
+    /// Accepts a keyed call at its entry.
+    pub(super) fn accept_keyed(&mut self, request: Request, arrived: Time, key: &str) {
         let Some(pending) = self.pending.get(&request) else {
             return;
         };
@@ -40,17 +40,17 @@
         let owner = map.and_then(|map| map.owner(key)).cloned();
         let epoch = map.map(|map| map.epoch);
         match (owner, epoch) {
-            (Some(owner), Some(epoch)) if owner == *self.owner.me() => {
+            (Some(owner), Some(epoch)) if owner == *self.owner.local() => {
                 let seen = self.refusals_before(arrived);
-                self.own(request, epoch, seen);
+                self.judge_as_owner(request, epoch, seen);
             }
             (Some(owner), Some(epoch)) => self.forward(request, arrived, &owner, epoch),
             _ => self.refuse(request, Kind::Unverified),
         }
     }
 
-    /// The failure domain that a key belongs to: the one that the caller
-    /// names, else one by hash of the key.
+    /// Returns the failure domain that a key belongs to: the one named by the
+    /// caller, or else one selected by a hash of the key.
     fn home_of(&self, call: &Call, key: &str) -> String {
         let domains = &self.config.domains;
         let named = call.home.as_ref().filter(|home| domains.contains(home));
@@ -69,9 +69,9 @@
         };
         let peer = self.members.peers.get(&owner.name);
         let current = |reading: &Reading| reading.from == *owner && reading.epoch == epoch;
-        let told = peer.filter(|peer| peer.reading().is_some_and(current));
-        let clock = told.and_then(|peer| peer.clock_at(self.now));
-        let (Some(peer), Some(clock)) = (told, clock) else {
+        let active = peer.filter(|peer| peer.reading().is_some_and(current));
+        let clock = active.and_then(|peer| peer.clock_at(self.now));
+        let (Some(peer), Some(clock)) = (active, clock) else {
             self.refuse(request, Kind::Unverified);
             return;
         };
@@ -79,7 +79,7 @@
             call: pending.call.clone(),
             owner: owner.clone(),
             epoch,
-            seen: peer.heard_before(arrived, owner, epoch),
+            seen: peer.refusals_before(arrived, owner, epoch),
             until: clock.after(pending.deadline.since(self.now)),
         };
         let address = peer.listed.address.clone();
@@ -92,7 +92,7 @@
 
     pub(super) fn on_forward_ended(&mut self, request: Request, result: Option<&ForwardResult>) {
         if let Some(reading) = result.and_then(|result| result.reading.as_ref()) {
-            self.note_reading(reading);
+            self.record_reading(reading);
         }
         match result.map(|result| result.refused) {
             Some(None) => self.reply(request, Reply::Relayed),
@@ -101,9 +101,10 @@
         }
     }
 
-    /// Sends a call to the same owner again after a broken exchange. That is
-    /// safe: the owner tells by the key whether it ran. An owner that has
-    /// changed meanwhile cannot be told what was heard before the call came.
+    /// Forwards a call to the same owner again after a broken exchange. That
+    /// is safe, because the owner knows by the key whether it ran. The call
+    /// must not go to a new owner instead: this instance cannot know which of
+    /// the new owner's refusals preceded the call.
     fn forward_again(&mut self, request: Request) {
         let now = self.now;
         let Some(Pending { path, deadline, .. }) = self.pending.get_mut(&request) else {
@@ -113,7 +114,7 @@
             return;
         };
         *tries += 1;
-        if *tries > MOST_FORWARDS || now >= *deadline {
+        if *tries > MAX_FORWARDS || now >= *deadline {
             self.refuse(request, Kind::Unverified);
             return;
         }
@@ -121,38 +122,38 @@
         self.emit(Effect::Forward { request, address, forward });
     }
 
-    /// Takes a call that a peer forwarded.
+    /// Handles a call that a peer forwarded.
     pub(super) fn on_forwarded(&mut self, request: Request, forward: &Forward) {
         let call = forward.call.clone();
         let pending = Pending { call, deadline: forward.until, path: Path::Owned };
         self.pending.insert(request, pending);
-        let to_me = forward.owner == *self.owner.me() && forward.call.key.is_some();
-        if to_me && !self.exited {
-            self.own(request, forward.epoch, forward.seen);
+        let is_addressee = forward.owner == *self.owner.local() && forward.call.key.is_some();
+        if is_addressee && !self.exited {
+            self.judge_as_owner(request, forward.epoch, forward.seen);
         } else {
             self.refuse(request, Kind::Unverified);
         }
     }
 
-    /// True if this instance may act as an owner in `epoch`.
+    /// Returns true if this instance may act as an owner in `epoch`.
     fn may_act(&self, epoch: u64) -> bool {
         epoch == self.owner.map().epoch && self.now < self.owner.lease_until()
     }
 
-    /// Decides about a call whose key this instance is asked to own.
-    fn own(&mut self, request: Request, epoch: u64, seen: u64) {
+    /// Judges a call as the owner of its key.
+    fn judge_as_owner(&mut self, request: Request, epoch: u64, seen: u64) {
         let Some(pending) = self.pending.get_mut(&request) else {
             return;
         };
         pending.path = Path::Owned;
         let (call, until) = (pending.call.clone(), pending.deadline);
         let key = call.key.clone().unwrap_or_default();
-        let is_owner = self.owner.map().owner(&key) == Some(self.owner.me());
+        let is_owner = self.owner.map().owner(&key) == Some(self.owner.local());
         if !is_owner || !self.may_act(epoch) || seen < self.activated_order {
             self.refuse(request, Kind::Unverified);
             return;
         }
-        match self.book.judge(&key, call.digest, seen, request) {
+        match self.claims.judge(&key, call.digest, seen, request) {
             Verdict::Fresh => self.claim(request, &key, &call, until),
             Verdict::Joined => {}
             Verdict::Replay(dispatch) => {
@@ -166,25 +167,25 @@
     }
 
     fn claim(&mut self, request: Request, key: &str, call: &Call, until: Time) {
-        if self.owner.is_blind(key, self.now) {
+        if self.owner.may_have_lost_claims(key, self.now) {
             self.refuse(request, Kind::OutcomeUnknown);
             return;
         }
-        self.book.claim(key, call.digest, self.now, request);
+        self.claims.claim(key, call.digest, self.now, request);
         if let Some(kind) = self.refusal_by_owner(call, until) {
             self.refuse_key(key, kind);
             return;
         }
         let map = self.owner.map();
         let epoch = map.epoch;
-        let Some(deputy) = map.deputy(key).cloned() else {
+        let Some(replica) = map.replica(key).cloned() else {
             self.dispatch_key(key, request, vec![], Kind::NoTarget);
             return;
         };
         let message = Message::Claim { epoch, key: key.to_owned(), digest: call.digest };
-        self.send_to(&deputy, message);
-        let asking = Asking { request, epoch, deputy, since: self.now, until };
-        self.asking.insert(key.to_owned(), asking);
+        self.send_to(&replica, message);
+        let pending = PendingCopy { request, epoch, replica, since: self.now, until };
+        self.pending_copies.insert(key.to_owned(), pending);
     }
 
     fn refusal_by_owner(&self, call: &Call, until: Time) -> Option<Kind> {
@@ -194,63 +195,63 @@
         if self.pending.len() > self.config.calls {
             return Some(Kind::Overloaded);
         }
-        let known = self.members.has_pool(&call.pool);
-        (!known).then_some(Kind::UnknownPool)
+        let exists = self.members.has_pool(&call.pool);
+        (!exists).then_some(Kind::UnknownPool)
     }
 
-    /// Refuses a claimed key as not run, and numbers the refusal.
+    /// Refuses a claimed key as "not run" and numbers the refusal.
     fn refuse_key(&mut self, key: &str, kind: Kind) {
         self.refusals += 1;
         self.refused_at.push_back((self.now, self.refusals));
-        if self.refused_at.len() > MOST_REFUSED_AT {
+        if self.refused_at.len() > MAX_REFUSED_AT {
             self.refused_at.pop_front();
         }
-        for request in self.book.refuse(key, self.refusals, self.now) {
+        for request in self.claims.refuse(key, self.refusals, self.now) {
             self.refuse(request, kind);
         }
     }
 
-    /// How many refusals were numbered before a local caller's send came.
+    /// Number of refusals that were made before a local caller's send arrived.
     fn refusals_before(&self, arrived: Time) -> u64 {
         let later = self.refused_at.iter().find(|(at, _)| *at >= arrived);
         later.map_or(self.refusals, |(_, order)| order - 1)
     }
 
-    /// A peer asks this instance to keep a copy of its claim.
+    /// Handles a peer's request to store a copy of its claim.
     pub(super) fn on_claim(&mut self, from: &Instance, epoch: u64, key: &str, digest: u64) {
         let map = self.owner.map();
-        let in_place = self.owner.is_active()
+        let is_replica = self.owner.is_active()
             && map.epoch == epoch
             && map.owner(key) == Some(from)
-            && map.deputy(key) == Some(self.owner.me());
-        if !in_place {
+            && map.replica(key) == Some(self.owner.local());
+        if !is_replica {
             return;
         }
         let copy = crate::core::claim::Copy { key: key.to_owned(), digest, age_ms: 0 };
-        self.book.keep(&copy, self.now);
+        self.claims.keep(&copy, self.now);
         self.send_to(from, Message::Claimed { epoch, key: key.to_owned() });
     }
 
-    /// The deputy has the copy: dispatch.
+    /// Dispatches a claimed key once the replica has confirmed its copy.
     pub(super) fn on_claimed(&mut self, from: &Instance, epoch: u64, key: &str) {
-        let expected = |asking: &&Asking| asking.deputy == *from && asking.epoch == epoch;
-        let Some(asking) = self.asking.get(key).filter(expected).cloned() else {
+        let expected = |pending: &&PendingCopy| pending.replica == *from && pending.epoch == epoch;
+        let Some(pending) = self.pending_copies.get(key).filter(expected).cloned() else {
             return;
         };
-        self.asking.remove(key);
+        self.pending_copies.remove(key);
         if !self.may_act(epoch) {
-            self.give_up_key(key, Kind::Unverified);
-        } else if self.now >= asking.until {
+            self.abandon_key(key, Kind::Unverified);
+        } else if self.now >= pending.until {
             self.refuse_key(key, Kind::DeadlinePassed);
         } else {
-            self.dispatch_key(key, asking.request, vec![], Kind::NoTarget);
+            self.dispatch_key(key, pending.request, vec![], Kind::NoTarget);
         }
     }
 
-    /// Drops a claim that was not dispatched and that this instance may no
+    /// Gives up a claim that was not dispatched and that this instance may no
     /// longer decide about.
-    fn give_up_key(&mut self, key: &str, kind: Kind) {
-        for request in self.book.advance(key, Phase::Uncertain, self.now) {
+    fn abandon_key(&mut self, key: &str, kind: Kind) {
+        for request in self.claims.advance(key, Phase::Uncertain, self.now) {
             self.refuse(request, kind);
         }
     }
@@ -270,10 +271,10 @@
         let purpose = Purpose::Key { key: key.to_owned(), request, tried };
         let before = deadline.min(self.owner.lease_until());
         let dispatch = self.dispatch(&target, request, purpose, before, deadline);
-        self.book.advance(key, Phase::Running(dispatch), self.now);
+        self.claims.advance(key, Phase::Running(dispatch), self.now);
     }
 
-    /// An attempt for a key ended.
+    /// Handles the end of an attempt for a key.
     pub(super) fn end_keyed(
         &mut self,
         key: &str,
@@ -284,13 +285,13 @@
     ) {
         match end {
             End::Answered => {
-                let waiters = self.book.advance(key, Phase::Done(dispatch), self.now);
+                let waiters = self.claims.advance(key, Phase::Done(dispatch), self.now);
                 for request in waiters {
                     self.reply(request, Reply::Stored(dispatch));
                 }
             }
             End::Broken => {
-                for request in self.book.advance(key, Phase::Uncertain, self.now) {
+                for request in self.claims.advance(key, Phase::Uncertain, self.now) {
                     self.refuse(request, Kind::OutcomeUnknown);
                 }
             }
@@ -298,13 +299,13 @@
         }
     }
 
-    /// The target certainly did not run it: try another one, if this
-    /// instance still may.
+    /// Tries another target after one that certainly did not run the request,
+    /// if this instance may still act as the owner.
     fn retry_key(&mut self, key: &str, request: Request, tried: Vec<String>) {
         if !self.may_act(self.owner.map().epoch)
-            || self.owner.map().owner(key) != Some(self.owner.me())
+            || self.owner.map().owner(key) != Some(self.owner.local())
         {
-            self.give_up_key(key, Kind::Unverified);
+            self.abandon_key(key, Kind::Unverified);
             return;
         }
         let expired = self.pending.get(&request).is_none_or(|p| self.now >= p.deadline);
@@ -316,35 +317,41 @@
         self.dispatch_key(key, request, tried, Kind::TargetRefused);
     }
 
-    /// Refuses claims whose deputy did not answer in time, asks it again
-    /// meanwhile, and forgets claims past the callers' retry horizon.
-    pub(super) fn keep_claims(&mut self) {
-        let asking: Vec<(String, Asking)> =
-            self.asking.iter().map(|(key, asking)| (key.clone(), asking.clone())).collect();
-        for (key, asking) in asking {
-            if self.now.since(asking.since) >= self.config.deputy_ms || self.now >= asking.until {
-                self.asking.remove(&key);
-                let may_say = self.may_act(asking.epoch);
-                match may_say {
-                    true => self.refuse_key(&key, Kind::NoDeputy),
-                    false => self.give_up_key(&key, Kind::Unverified),
+    /// Refuses claims whose replica did not answer in time, repeats the request
+    /// to the replica until then, and forgets claims that are older than the
+    /// callers' retry horizon.
+    pub(super) fn tick_claims(&mut self) {
+        let pending_copies: Vec<(String, PendingCopy)> = self
+            .pending_copies
+            .iter()
+            .map(|(key, pending)| (key.clone(), pending.clone()))
+            .collect();
+        for (key, pending) in pending_copies {
+            if self.now.since(pending.since) >= self.config.replica_timeout_ms
+                || self.now >= pending.until
+            {
+                self.pending_copies.remove(&key);
+                let may_refuse = self.may_act(pending.epoch);
+                match may_refuse {
+                    true => self.refuse_key(&key, Kind::NoReplica),
+                    false => self.abandon_key(&key, Kind::Unverified),
                 }
                 continue;
             }
-            let digest = self.book.get(&key).map(|claim| claim.digest).unwrap_or_default();
-            let message = Message::Claim { epoch: asking.epoch, key, digest };
-            self.send_to(&asking.deputy, message);
+            let digest = self.claims.get(&key).map(|claim| claim.digest).unwrap_or_default();
+            let message = Message::Claim { epoch: pending.epoch, key, digest };
+            self.send_to(&pending.replica, message);
         }
-        for dispatch in self.book.expire(self.now, self.config.ownership.horizon_ms) {
+        for dispatch in self.claims.expire(self.now, self.config.ownership.horizon_ms) {
             self.emit(Effect::Forget { dispatch });
         }
         self.owner.expire(self.now);
     }
 
-    /// Gives up what was claimed and not dispatched, at a change of the map.
+    /// Gives up all claims that were not dispatched, when the map changes.
     pub(super) fn abandon_claims(&mut self) {
-        self.asking.clear();
-        for (_, waiters) in self.book.abandon() {
+        self.pending_copies.clear();
+        for (_, waiters) in self.claims.abandon() {
             for request in waiters {
                 self.refuse(request, Kind::Unverified);
             }
--- a/crates/hollywell/src/core/weight_loading.rs
+++ b/crates/hollywell/src/core/weight_loading.rs
@@ -20,7 +20,7 @@
 //! engines report again and again, so that the final state is right even if
 //! orders are lost, duplicated or late.
 //!
-//! The lease ([`crate::core::tenure`]) and the calls to engines are not decided
+//! The lease ([`crate::core::store_lease`]) and the calls to engines are not decided
 //! here.
 
 use std::{
--- a/crates/hollywell/src/entry/caller.rs
+++ b/crates/hollywell/src/entry/caller.rs
@@ -18,7 +18,7 @@
 use crate::{
     core::{
         configuration::{Configuration, Route},
-        organisation::{Directory, Organisation, Stranger},
+        organisation::{AuthError, Directory, Organisation},
     },
     entry::{configuration, shared::Shared},
     error::Kind,
@@ -69,11 +69,13 @@
     headers: &HeaderMap,
 ) -> Result<&'a Organisation, Kind> {
     let values = headers.get_all(header::AUTHORIZATION);
-    directory.caller(values.iter().map(http::HeaderValue::as_bytes)).map_err(|why: Stranger| {
-        shared.meters.unauthenticated.with_label_values(&[why.as_str()]).inc();
-        log::info!("a caller is not known: {}", why.as_str());
-        Kind::UnknownCaller
-    })
+    directory.authenticate(values.iter().map(http::HeaderValue::as_bytes)).map_err(
+        |why: AuthError| {
+            shared.meters.unauthenticated.with_label_values(&[why.as_str()]).inc();
+            log::info!("a caller is not known: {}", why.as_str());
+            Kind::UnknownCaller
+        },
+    )
 }
 
 /// The route of a request and its caller, under one configuration.
@@ -120,7 +122,7 @@
 ///
 /// # Errors
 ///
-/// Why the request is refused; [`Kind::StoreAway`] if no configuration that is
+/// Why the request is refused; [`Kind::StoreUnavailable`] if no configuration that is
 /// fresh enough arrived in time.
 pub async fn identify_for_route(
     shared: &Rc<Shared>,
@@ -155,7 +157,8 @@
     let deadline = Instant::now() + CONFIGURATION_WAIT;
     loop {
         let refreshed = shared.configuration_read.notified();
-        let configuration = shared.control.borrow().configuration.clone().ok_or(Kind::StoreAway)?;
+        let configuration =
+            shared.control.borrow().configuration.clone().ok_or(Kind::StoreUnavailable)?;
         let current = is_current(shared);
         match identify(&configuration) {
             Ok(identified) if !is_too_old(shared, &configuration) => return Ok(identified),
@@ -163,7 +166,7 @@
             Ok(_) | Err(_) => {}
         }
         if timeout_at(deadline, refreshed).await.is_err() {
-            return Err(Kind::StoreAway);
+            return Err(Kind::StoreUnavailable);
         }
     }
 }
--- a/crates/hollywell/src/entry/capacity.rs
+++ b/crates/hollywell/src/entry/capacity.rs
@@ -8,7 +8,7 @@
 
 use crate::{
     core::{
-        batch::{CLOCKS_APART_MS, Job, Submission},
+        batch::{Job, MAX_CLOCK_SKEW_MS, Submission},
         capacity::{self, LIVE_OVERHEAD, LOG_OVERHEAD, Purpose},
         dispatch::owner,
     },
@@ -53,7 +53,7 @@
     let control = shared.control.borrow();
     let jobs = control.partitions.iter().flat_map(|partition| partition.index.jobs.values());
     let (tokens, bytes) =
-        jobs.map(Job::sizes).fold((0, 0), |sum, sizes| (sum.0 + sizes.0, sum.1 + sizes.1));
+        jobs.map(Job::finished_sizes).fold((0, 0), |sum, sizes| (sum.0 + sizes.0, sum.1 + sizes.1));
     if tokens == 0 { BYTES_PER_TOKEN } else { bytes as f64 / tokens as f64 }
 }
 
@@ -71,8 +71,8 @@
     let others: u64 = control.other_logs.values().map(|log| log.bytes(0)).sum();
     let jobs = || control.partitions.iter().flat_map(|partition| partition.index.jobs.values());
     let live = jobs().map(Job::bytes).sum();
-    let tokens: u64 = jobs().map(Job::tokens_to_come).sum();
-    let samples = jobs().filter(|job| !job.ended).map(|job| job.done.len() - job.listed.len());
+    let tokens: u64 = jobs().map(Job::remaining_tokens).sum();
+    let samples = jobs().filter(|job| !job.ended).map(|job| job.done.len() - job.results.len());
     let outcomes = samples.sum::<usize>() as u64 * OUTCOME_BYTES;
     let max_log_bytes = control.capacity.max_log_bytes(2 * control.partitions.len());
     let own = control
@@ -123,12 +123,12 @@
 
 /// In how many milliseconds the records of a job will be dropped next.
 fn next_deletion_ms(shared: &Shared) -> Option<u64> {
-    let kept_ms = shared.settings.times.status_ms().saturating_add(CLOCKS_APART_MS);
+    let kept_ms = shared.settings.times.status_ms().saturating_add(MAX_CLOCK_SKEW_MS);
     let now_ms = unix_ms();
     let control = shared.control.borrow();
     let jobs = control.partitions.iter().flat_map(|partition| partition.index.jobs.values());
     let left = |at_ms: u64| kept_ms.saturating_sub(now_ms.saturating_sub(at_ms));
-    jobs.filter(|job| job.ended).map(|job| left(job.head.at_ms)).min()
+    jobs.filter(|job| job.ended).map(|job| left(job.manifest.at_ms)).min()
 }
 
 /// Trims the logs of a partition of jobs and of the partition of texts with
--- a/crates/hollywell/src/entry/garbage.rs
+++ b/crates/hollywell/src/entry/garbage.rs
@@ -1,6 +1,6 @@
 //! Drops records that nothing needs any more. Keyed records are kept for good
 //! by the store, and its room is small; what may be dropped is decided in
-//! [`crate::core::batch::Spare`].
+//! [`crate::core::batch::Garbage`].
 //!
 //! Each job's records are dropped by one instance, the one that its id hashes
 //! to. An instance that takes over drops some again, which does no harm.
@@ -12,7 +12,7 @@
 
 use crate::{
     core::{
-        batch::{self, Book, Keys, Spare, Terms},
+        batch::{self, Garbage, Index, Keys, Retention},
         capacity::Purpose,
         dispatch::owner,
         time::Time,
@@ -101,14 +101,14 @@
 struct Deletions {
     keys: Keys,
     /// What is known of jobs once it is dropped.
-    after: Vec<(String, Spare)>,
+    after: Vec<(String, Garbage)>,
     over: Vec<String>,
     orphans: Vec<String>,
 }
 
 /// Drops this instance's share of what is not needed until it stops.
 pub async fn serve(shared: Rc<Shared>) {
-    let mut garbage: HashMap<String, Spare> = HashMap::new();
+    let mut garbage: HashMap<String, Garbage> = HashMap::new();
     loop {
         sleep(SCAN_INTERVAL).await;
         observe(&shared, &mut garbage);
@@ -126,12 +126,12 @@
 }
 
 /// Takes over what is to be seen of the jobs.
-fn observe(shared: &Shared, garbage: &mut HashMap<String, Spare>) {
+fn observe(shared: &Shared, garbage: &mut HashMap<String, Garbage>) {
     let now = shared.now();
     let control = shared.control.borrow();
     let jobs = || control.partitions.iter().flat_map(|partition| &partition.index.jobs);
     for (id, job) in jobs() {
-        garbage.entry(id.clone()).or_insert_with(|| Spare::new(now)).look(job, now);
+        garbage.entry(id.clone()).or_insert_with(|| Garbage::new(now)).observe(job, now);
     }
     garbage.retain(|id, _| {
         control.partitions.iter().any(|partition| partition.index.jobs.contains_key(id))
@@ -139,9 +139,9 @@
 }
 
 /// Records of a partition that nothing needs and that fall to this instance.
-fn find_deletions(shared: &Shared, part: usize, garbage: &HashMap<String, Spare>) -> Deletions {
+fn find_deletions(shared: &Shared, part: usize, garbage: &HashMap<String, Garbage>) -> Deletions {
     let status_ms = shared.settings.times.status_ms();
-    let (now, unix_ms, terms) = (shared.now(), unix_ms(), Terms { status_ms });
+    let (now, unix_ms, terms) = (shared.now(), unix_ms(), Retention { status_ms });
     let control = shared.control.borrow();
     let mut due = Deletions::default();
     let book = &control.partitions[part].index;
@@ -150,7 +150,7 @@
             continue;
         };
         let mut after_drop = None;
-        let keys = if job_garbage.is_over(job, now, unix_ms, terms) {
+        let keys = if job_garbage.is_expired(job, now, unix_ms, terms) {
             job.keys(id)
         } else {
             let (keys, after) = job_garbage.next(id, job, now);
@@ -169,7 +169,7 @@
         }
         due.keys.jobs.extend(keys.jobs);
         due.keys.texts.extend(keys.texts);
-        due.keys.heads.extend(keys.heads);
+        due.keys.manifests.extend(keys.manifests);
     }
     // What was read before it is due says nothing.
     let read_at = control.partitions[part].read_at;
@@ -188,16 +188,16 @@
     due
 }
 
-fn is_referenced(book: &Book, job: &str, key: &str) -> bool {
+fn is_referenced(book: &Index, job: &str, key: &str) -> bool {
     let job = book.jobs.get(job);
-    job.is_some_and(|job| job.head.bundles.iter().any(|bundle| bundle.key == key))
+    job.is_some_and(|job| job.manifest.bundles.iter().any(|bundle| bundle.key == key))
 }
 
 fn record_deleted(
     shared: &Shared,
     part: usize,
     due: Deletions,
-    garbage: &mut HashMap<String, Spare>,
+    garbage: &mut HashMap<String, Garbage>,
 ) {
     garbage.extend(due.after);
     let mut orphans = shared.orphans.0.borrow_mut();
@@ -215,7 +215,7 @@
     }
     let jobs = Partition::at(JOBS, part);
     delete_keys(shared, &jobs, &due.keys.jobs).await?;
-    for some in due.keys.heads.chunks(MAX_BATCH / 2) {
+    for some in due.keys.manifests.chunks(MAX_BATCH / 2) {
         delete_keys(shared, &jobs, some.as_flattened()).await?;
     }
     Ok(())
@@ -229,7 +229,7 @@
     part: &Partition,
     job: &str,
 ) -> Result<(), StoreError> {
-    let first = batch::first_key(job);
+    let first = batch::key_prefix(job);
     let mut after = Some(first.clone());
     while let Some(from) = after {
         let page = shared.reader.newest(part, Some(from)).await?;
--- a/crates/hollywell/src/entry/ingress.rs
+++ b/crates/hollywell/src/entry/ingress.rs
@@ -258,7 +258,7 @@
             Err(kind) => return refuse(shared, kind),
         };
     let Some(configuration) = loaded_configuration(shared) else {
-        return refuse(shared, Kind::StoreAway);
+        return refuse(shared, Kind::StoreUnavailable);
     };
     let names = &shared.codec.headers;
     if configuration.organisations.is_some() {
@@ -353,7 +353,7 @@
     };
     if *caller != Caller::Unrestricted {
         let reserved = [header::AUTHORIZATION.as_str(), shared.codec.headers.organisation.as_str()];
-        decoded.drop_headers(&reserved);
+        decoded.remove_headers(&reserved);
     }
     let done = jobs::submit(shared, caller, id, host, path, &decoded).await;
     let accepted = done == JobReply::Done;
@@ -368,7 +368,7 @@
     match reply {
         JobReply::Done => Response::new(Full::default()),
         JobReply::Body(body) => Response::new(Full::new(body)),
-        JobReply::Rejected | JobReply::Unavailable => refuse(shared, Kind::StoreAway),
+        JobReply::Rejected | JobReply::Unavailable => refuse(shared, Kind::StoreUnavailable),
         JobReply::StoreFull(ms) => set_retry_after(refuse(shared, Kind::StoreFull), ms),
         JobReply::OutcomeUnknown => refuse(shared, Kind::OutcomeUnknown),
         JobReply::NotFound => refuse(shared, Kind::NoRoute),
--- a/crates/hollywell/src/entry/jobs.rs
+++ b/crates/hollywell/src/entry/jobs.rs
@@ -15,7 +15,7 @@
 
 use crate::{
     core::{
-        batch::{self, Head, Outcome, Sample, Submission, TextRef},
+        batch::{self, Manifest, Outcome, Sample, Submission, TextRef},
         capacity::Purpose,
         dispatch::{Event, Slot},
     },
@@ -100,7 +100,7 @@
     if !batch::is_id(job) || decoded.samples.iter().any(|sample| !batch::is_id(&sample.id)) {
         return JobReply::Malformed(format!(
             "ids must have 1 to {} bytes and contain no '|'",
-            batch::MAX_ID
+            batch::MAX_ID_LEN
         ));
     }
     // Another instance may just have accepted the job. If the partition cannot
@@ -127,7 +127,7 @@
             return JobReply::Rejected;
         }
     };
-    let head = Head {
+    let head = Manifest {
         host: host.to_owned(),
         path: path.to_owned(),
         at_ms: unix_ms(),
@@ -139,7 +139,7 @@
         bundles,
         organisation: caller.organisation().to_owned(),
     };
-    let (key, value) = batch::head_record(job, &head);
+    let (key, value) = batch::manifest_record(job, &head);
     let max_bytes = shared.settings.store.record_bytes;
     if key.len() + value.len() >= max_bytes {
         return JobReply::Malformed(format!(
@@ -207,7 +207,7 @@
 /// Whether the job exists and the caller may see it.
 fn is_visible(shared: &Shared, caller: &Caller, part: usize, job: &str) -> bool {
     let control = shared.control.borrow();
-    let head = control.partitions[part].index.jobs.get(job).map(|job| &job.head);
+    let head = control.partitions[part].index.jobs.get(job).map(|job| &job.manifest);
     head.is_some_and(|head| caller.may_see(&head.organisation))
 }
 
@@ -275,7 +275,7 @@
 }
 
 /// Reads a job's results from a position, waiting up to `max_wait` until they
-/// are worth reading ([`batch::Job::is_worth_reading`]).
+/// are worth reading ([`batch::Job::is_worth_answering`]).
 ///
 /// Trainers need a number of complete groups and poll again half a second after
 /// each response. When the first result ended the wait, the last one that a
@@ -292,8 +292,8 @@
     let listed = |shared: &Shared| {
         let control = shared.control.borrow();
         let job = control.partitions[part].index.jobs.get(job)?;
-        let due = job.is_worth_reading(after) || after >= job.done.len();
-        Some((job.listed.len(), due))
+        let due = job.is_worth_answering(after) || after >= job.done.len();
+        Some((job.results.len(), due))
     };
     // A position beyond the folded results was read at another instance, or
     // does not exist.
@@ -380,7 +380,7 @@
     let job = control.partitions[part].index.jobs.get(job)?;
     let mut outcomes: Vec<Outcome> = Vec::new();
     let mut bytes = 0;
-    for listed in job.listed.iter().skip(after) {
+    for listed in job.results.iter().skip(after) {
         let outcome: Outcome = match Outcome::decode(listed.value.clone()) {
             Ok(outcome) => outcome,
             Err(error) => {
--- a/crates/hollywell/src/entry/lease.rs
+++ b/crates/hollywell/src/entry/lease.rs
@@ -1,5 +1,5 @@
 //! A lease on something that one instance does at a time, kept up on a
-//! partition of its own. [`crate::core::tenure`] decides; this makes the calls.
+//! partition of its own. [`crate::core::store_lease`] decides; this makes the calls.
 
 use std::{
     cell::{Cell, RefCell},
@@ -13,7 +13,7 @@
 use crate::{
     core::{
         capacity::Purpose,
-        tenure::{Claim, Tenure, Terms},
+        store_lease::{Claim, StoreLease, Timing},
     },
     entry::{
         shared::Shared,
@@ -35,8 +35,8 @@
     part: Partition,
     /// What it is on, for logs.
     subject: String,
-    terms: Terms,
-    state: RefCell<Tenure>,
+    terms: Timing,
+    state: RefCell<StoreLease>,
     /// There is something to do for its holder.
     wanted: Cell<bool>,
     /// Told when a claim must come before the next regular one.
@@ -50,7 +50,7 @@
         Rc::new(Lease {
             part,
             subject: subject.to_owned(),
-            terms: Terms { term_ms: TERM_MS, apart_ms },
+            terms: Timing { term_ms: TERM_MS, apart_ms },
             state: RefCell::default(),
             wanted: Cell::new(false),
             urgent: Notify::new(),
@@ -79,7 +79,7 @@
 
     /// Notes that a call goes out under the fencing number.
     pub(super) fn record_use(&self, shared: &Shared) {
-        self.state.borrow_mut().ordered(shared.now());
+        self.state.borrow_mut().record_order(shared.now());
     }
 
     /// Gives the lease up, if it is held.
@@ -129,12 +129,12 @@
                     let value = record.value.clone().unwrap_or_default();
                     match serde_json::from_slice::<Claim>(&value) {
                         Ok(claim) => {
-                            state.read(&shared.instance_id, shared.now(), record.offset, &claim)
+                            state.observe(&shared.instance_id, shared.now(), record.offset, &claim)
                         }
                         Err(error) => log::warn!("claim at {} skipped: {error}", record.offset),
                     }
                 }
-                state.read_to(records.end);
+                state.observe_end(records.end);
             }
             Err(StoreError::Trimmed(first)) => self.state.borrow_mut().end = first,
             Err(fault) => {
@@ -172,7 +172,7 @@
                 if claim.renews.is_none() {
                     log::info!("lease of {} granted, fence {}", self.subject, appended.offset);
                 }
-                self.state.borrow_mut().granted(sent, appended.offset, &claim, self.terms);
+                self.state.borrow_mut().record_grant(sent, appended.offset, &claim, self.terms);
             }
             Err(StoreError::EndMismatch(_)) => {
                 // Whose claim came first, or whether it was one of this
--- a/crates/hollywell/src/entry/reader.rs
+++ b/crates/hollywell/src/entry/reader.rs
@@ -16,7 +16,7 @@
 use crate::{
     core::{
         group::Listing,
-        patience::{self, Patience},
+        timeout::{self, Timeout},
     },
     entry::store::{Client, Newest, Page, Partition, Read, Records, StoreError, WithIdleTimeout},
 };
@@ -31,7 +31,7 @@
 #[derive(Debug)]
 pub struct Reader {
     store: Client,
-    timeout: RefCell<Patience>,
+    timeout: RefCell<Timeout>,
     pages: Semaphore,
     instance_count: Cell<usize>,
     store_unavailable: Cell<bool>,
@@ -59,7 +59,7 @@
     pub fn set_store_unavailable(&self, unavailable: bool) {
         self.store_unavailable.set(unavailable);
         if unavailable {
-            self.timeout.borrow_mut().away();
+            self.timeout.borrow_mut().record_outage();
         }
     }
 
@@ -122,10 +122,10 @@
     }
 
     /// Pauses after a call that failed, the last of so many in a row: up
-    /// to [`patience::pause_most_ms`], so that instances that failed together
+    /// to [`timeout::max_backoff_ms`], so that instances that failed together
     /// do not return together.
     pub async fn back_off(&self, failures: u32) {
-        let most = patience::pause_most_ms(
+        let most = timeout::max_backoff_ms(
             failures,
             self.instance_count.get(),
             self.store_unavailable.get(),
@@ -139,7 +139,7 @@
         wait: Duration,
         call: impl FnOnce(Duration) -> crate::entry::store::LocalFuture<Result<T, StoreError>>,
     ) -> Result<T, StoreError> {
-        let limit_ms = self.timeout.borrow().limit_ms();
+        let limit_ms = self.timeout.borrow().current_ms();
         let started = Instant::now();
         let answer = call(Duration::from_millis(limit_ms)).await;
         let took = started.elapsed();
@@ -149,9 +149,11 @@
             // long it took beyond that is not known.
             Ok(_) if took >= wait => {
                 let beyond = took.saturating_sub(wait).as_millis();
-                timeout.answered(u64::try_from(beyond).unwrap_or(u64::MAX));
+                timeout.record_answer(u64::try_from(beyond).unwrap_or(u64::MAX));
+            }
+            Err(StoreError::TimedOut) if !self.store_unavailable.get() => {
+                timeout.record_timeout(limit_ms)
             }
-            Err(StoreError::TimedOut) if !self.store_unavailable.get() => timeout.silent(limit_ms),
             _ => {}
         }
         answer
--- a/crates/hollywell/src/entry/resume.rs
+++ b/crates/hollywell/src/entry/resume.rs
@@ -6,7 +6,7 @@
 
 use crate::{
     core::{
-        batch::{Head, Partial},
+        batch::{Manifest, Partial},
         dispatch::Item,
     },
     entry::shared::JobPartition,
@@ -18,7 +18,12 @@
 
 /// The work items of a job that is opened. Moves partial texts of earlier steps
 /// to the job and discards outdated ones.
-pub fn items(partitions: &mut [JobPartition], part: usize, job: &str, head: &Head) -> Vec<Item> {
+pub fn items(
+    partitions: &mut [JobPartition],
+    part: usize,
+    job: &str,
+    head: &Manifest,
+) -> Vec<Item> {
     discard_outdated(partitions, head);
     let mut items = Vec::new();
     for (at, sample) in head.samples.iter().enumerate() {
@@ -49,10 +54,11 @@
     found
 }
 
-fn discard_outdated(partitions: &mut [JobPartition], head: &Head) {
+fn discard_outdated(partitions: &mut [JobPartition], head: &Manifest) {
     let jobs = partitions.iter_mut().flat_map(|partition| partition.index.jobs.values_mut());
     for job in jobs {
-        let is_outdated = job.head.model == head.model && job.head.step + MAX_STEPS < head.step;
+        let is_outdated =
+            job.manifest.model == head.model && job.manifest.step + MAX_STEPS < head.step;
         if is_outdated {
             job.partials.clear();
         }
--- a/crates/hollywell/src/entry/samples.rs
+++ b/crates/hollywell/src/entry/samples.rs
@@ -9,7 +9,7 @@
 
 use crate::{
     core::{
-        batch::{self, Brief, Bundle, Sample, Submission, TextRef},
+        batch::{self, Bundle, Sample, SampleMeta, Submission, TextRef},
         capacity::Purpose,
         dispatch::Slot,
     },
@@ -30,7 +30,7 @@
     let part = shared.partition_of(&slot.job);
     let (bundle, at, text) = {
         let control = shared.control.borrow();
-        let head = &control.partitions[part].index.jobs.get(&slot.job)?.head;
+        let head = &control.partitions[part].index.jobs.get(&slot.job)?.manifest;
         let brief = head.samples.get(slot.at)?;
         let (bundle, at) = (brief.bundle as usize, brief.at as usize);
         let cached = control.bundles.get(&(slot.job.clone(), bundle));
@@ -87,7 +87,7 @@
     shared: &Rc<Shared>,
     job: &str,
     submission: &Submission,
-) -> Result<(Vec<Brief>, Vec<TextRef>), StoreError> {
+) -> Result<(Vec<SampleMeta>, Vec<TextRef>), StoreError> {
     let part = shared.partition_of(job);
     let store = &shared.settings.store;
     let (briefs, bundles) = batch::bundle(submission, store.record_bytes / 2);
--- a/crates/hollywell/src/entry/serve.rs
+++ b/crates/hollywell/src/entry/serve.rs
@@ -197,7 +197,7 @@
     spawn(Box::pin(serve_constant(shared.clone(), ready, ingress::ready)));
     spawn(Box::pin(serve_constant(shared.clone(), metrics, ingress::metrics)));
     spawn(Box::pin(ingress::serve(shared.clone(), callers, open.clone())));
-    crate::serve::asked_to_stop().await?;
+    crate::serve::shutdown_signal().await?;
     stop(&shared, &open).await;
     Ok(())
 }
--- a/crates/hollywell/src/entry/settings.rs
+++ b/crates/hollywell/src/entry/settings.rs
@@ -48,7 +48,7 @@
     /// The address of the platform's API.
     pub address: SocketAddr,
     /// The usage windows and when they are reported.
-    pub usage: usage::Terms,
+    pub usage: usage::Schedule,
 }
 
 /// The store.
@@ -192,6 +192,6 @@
     let window = reader.time(section, "report_window_s", SECOND, 5.0, 0.1..=MAX_S);
     let late = reader.time(section, "usage_late_s", SECOND, 10.0, 0.1..=MAX_S);
     let ms = |time: Duration| u64::try_from(time.as_millis()).unwrap_or(u64::MAX);
-    let usage = usage::Terms { window_ms: ms(window), late_ms: ms(late) };
+    let usage = usage::Schedule { window_ms: ms(window), late_ms: ms(late) };
     is_set.then(|| Duties { address: reader.address(section, "address"), usage })
 }
--- a/crates/hollywell/src/entry/shared.rs
+++ b/crates/hollywell/src/entry/shared.rs
@@ -17,7 +17,7 @@
 use crate::{
     clock::Clock,
     core::{
-        batch::{self, Book, Bundle, Change, Record, Written},
+        batch::{self, Bundle, Change, Index, Record, Written},
         capacity,
         choice::Observations,
         configuration::{Configuration, RouteKind},
@@ -25,10 +25,10 @@
         ending,
         fleet::{Announcement, Fleet},
         group::GroupSize,
+        permit::Permits,
         poison,
         roster::Roster,
         time::Time,
-        turn::Turns,
         weight_loading::Models,
     },
     entry::{
@@ -70,7 +70,7 @@
 #[derive(Debug, Default)]
 pub struct JobPartition {
     /// The jobs.
-    pub index: Book,
+    pub index: Index,
     /// The logs of jobs and of texts.
     pub logs: [capacity::Log; 2],
     /// The offset to read next.
@@ -236,13 +236,13 @@
     pub text_cache: TextCache,
     /// What is known against requests and not in the store yet.
     pub unsaved_suspects: suspects::UnsavedSuspects,
-    /// Turns to try suspects that this instance gives out.
-    pub probe_permits: RefCell<Turns>,
+    /// Permits to try suspects that this instance gives out.
+    pub probe_permits: RefCell<Permits>,
     /// What is counted here of organisations' requests.
     pub usage: usage::Usage,
     /// Records that nothing may name.
     pub orphans: garbage::Orphans,
-    /// Turns true when the instance stops.
+    /// Permits true when the instance stops.
     pub stop: watch::Sender<bool>,
 }
 
@@ -436,7 +436,7 @@
         };
         for job in dropped {
             log::info!("job {job} was dropped while nothing was read here");
-            self.apply_change(part, Change::Dropped(job));
+            self.apply_change(part, Change::Deleted(job));
         }
     }
 
@@ -444,9 +444,9 @@
         match change {
             Change::Opened(job) => self.open_job(part, job),
             Change::Skipped(skip) => log::warn!("{skip}"),
-            Change::Listed(job, at) => self.handle_event(&Event::Listed(Slot { job, at })),
-            Change::Grown(job, at) => self.partial_text_grew(part, Slot { job, at }),
-            Change::Ended(job) | Change::Dropped(job) => {
+            Change::ResultStored(job, at) => self.handle_event(&Event::Listed(Slot { job, at })),
+            Change::PartialStored(job, at) => self.partial_text_grew(part, Slot { job, at }),
+            Change::Ended(job) | Change::Deleted(job) => {
                 self.close_job(&job);
                 ends::handle_event(self, &ending::Event::Settled(job));
             }
@@ -506,23 +506,24 @@
             let Some(job) = control.partitions[part].index.jobs.get(&id) else {
                 return;
             };
-            if job.ended || job.is_whole() || control.ending.is_pending(&id) {
+            if job.ended || job.is_complete() || control.ending.is_pending(&id) {
                 return;
             }
             let plan = control.configuration.clone();
-            let route = plan.as_ref().and_then(|plan| plan.route(&job.head.host, &job.head.path));
+            let route =
+                plan.as_ref().and_then(|plan| plan.route(&job.manifest.host, &job.manifest.path));
             let Some(route) = route.filter(|route| route.kind == RouteKind::Batch) else {
                 control.unopened_jobs.push(id);
                 return;
             };
-            let keep_ms = batch::keep_for(route.keep_ms, job.head.at_ms, unix_ms());
-            let head = job.head.clone();
+            let keep_ms = batch::retention_left_ms(route.keep_ms, job.manifest.at_ms, unix_ms());
+            let head = job.manifest.clone();
             let mut work = Work {
                 job: id,
                 part,
                 pool: route.pools.first().map(|(pool, _)| pool.clone()).unwrap_or_default(),
-                model: job.head.model.clone(),
-                min_version: job.head.min_version,
+                model: job.manifest.model.clone(),
+                min_version: job.manifest.min_version,
                 attempts: route.attempts,
                 keep_until: self.now().after(keep_ms),
                 samples: vec![],
--- a/crates/hollywell/src/entry/unstarted.rs
+++ b/crates/hollywell/src/entry/unstarted.rs
@@ -72,12 +72,12 @@
         return (!control.ending.is_pending(id)).then_some(Reason::Unread);
     };
     let is_running_here = control.partial_texts.keys().any(|slot| slot.job == id);
-    if job.ended || is_running_here || !job.listed.is_empty() || !job.partials.is_empty() {
+    if job.ended || is_running_here || !job.results.is_empty() || !job.partials.is_empty() {
         return None;
     }
     let configuration = control.configuration.as_ref();
-    let route =
-        configuration.and_then(|configuration| configuration.route(&job.head.host, &job.head.path));
+    let route = configuration
+        .and_then(|configuration| configuration.route(&job.manifest.host, &job.manifest.path));
     let pool = route.and_then(|route| route.pools.first());
     let Some((pool, _)) = pool else {
         return Some(Reason::Unrouted);
@@ -88,7 +88,7 @@
     if control.roster.members().is_empty() {
         return Some(Reason::NoInstances);
     }
-    let can_run = |target: &Target| target.may_run(&job.head.model, job.head.min_version);
+    let can_run = |target: &Target| target.may_run(&job.manifest.model, job.manifest.min_version);
     let is_served = control.fleet.usable(pool).any(can_run);
     Some(if is_served { Reason::OwnerIdle } else { Reason::NoTarget })
 }
--- a/crates/hollywell/src/entry/usage.rs
+++ b/crates/hollywell/src/entry/usage.rs
@@ -15,7 +15,7 @@
 use crate::{
     core::{
         capacity::Purpose,
-        usage::{self, Day, Tally},
+        usage::{self, SteadyClock, Tally},
     },
     entry::{
         peers,
@@ -64,7 +64,7 @@
 #[derive(Debug, Default)]
 pub struct Usage {
     tally: RefCell<Tally>,
-    day: RefCell<Day>,
+    day: RefCell<SteadyClock>,
     /// Records of peers that could not store them.
     peer_counts: RefCell<BTreeMap<String, Bytes>>,
     changed: Notify,
@@ -99,7 +99,7 @@
         shared.usage.changed.notified().await;
         let members = shared.control.borrow().roster.members().len() as f64;
         sleep(GATHER.mul_f64((members / GATHER_INSTANCES).max(1.0))).await;
-        let own = shared.usage.tally.borrow_mut().take(&shared.writer_id);
+        let own = shared.usage.tally.borrow_mut().take_changed(&shared.writer_id);
         let peer_counts = std::mem::take(&mut *shared.usage.peer_counts.borrow_mut());
         if own.is_empty() && peer_counts.is_empty() {
             continue;
@@ -116,7 +116,7 @@
             if !failed_before {
                 hand_to_peers(&shared, &own);
             }
-            shared.usage.tally.borrow_mut().put_back(&own);
+            shared.usage.tally.borrow_mut().mark_unsaved(&own);
             shared.usage.peer_counts.borrow_mut().extend(peer_counts);
             sleep(MAX_RETRY.mul_f64(rand::random_range(0.0..=1.0))).await;
             shared.usage.changed.notify_one();
@@ -163,7 +163,7 @@
         let mut peer_counts = shared.usage.peer_counts.borrow_mut();
         for CountRecord { key, value } in records {
             if peer_counts.len() < MAX_PEER_COUNTS {
-                peer_counts.insert(usage::carried_key(&key, &shared.writer_id), value);
+                peer_counts.insert(usage::forwarded_key(&key, &shared.writer_id), value);
             }
         }
     }
