--- a/crates/hollywell/src/entry/configuration.rs
+++ b/crates/hollywell/src/entry/configuration.rs
@@ -75,7 +75,7 @@
     let named = control.models.newest.entry(model.to_owned()).or_insert(0);
     if *named < version {
         *named = version;
-        log::info!("newest version of model {model} is {version}");
+        log::info!("model {model} is named version {version}");
     }
 }
 
@@ -84,14 +84,10 @@
     if !shared.control.borrow_mut().fleet.evacuate(domain, is_on) {
         return;
     }
-    let change = if is_on {
-        "is evacuated: its targets get no new requests"
-    } else {
-        "is no longer evacuated"
-    };
+    let change = if is_on { "gets nothing new from now on" } else { "takes work again" };
     log::info!("failure domain {domain} {change}");
     if !shared.settings.domains.iter().any(|known| known == domain) {
-        log::warn!("failure domain {domain} is not in the settings: {:?}", shared.settings.domains);
+        log::warn!("failure domain {domain} is none of {:?}", shared.settings.domains);
     }
 }
 
