--- a/crates/hollywell/src/entry/ingress.rs
+++ b/crates/hollywell/src/entry/ingress.rs
@@ -102,7 +102,7 @@
     let idle_ms = {
         let control = shared.control.borrow();
         control.configuration.as_ref().map_or(DEFAULT_IDLE_MS, |configuration| {
-            configuration.idle_ms.max(configuration.header_ms)
+            configuration.idle_timeout_ms.max(configuration.header_timeout_ms)
         })
     };
     let service = service_fn(|request| {
@@ -267,10 +267,10 @@
         head.headers.remove(header::AUTHORIZATION);
         head.headers.remove(&names.organisation);
     }
-    let limit = if configuration.body_bytes == 0 {
+    let limit = if configuration.max_body_bytes == 0 {
         DEFAULT_MAX_BODY_BYTES
     } else {
-        configuration.body_bytes
+        configuration.max_body_bytes
     };
     let body = match Limited::new(body, limit).collect().await {
         Ok(body) => body.to_bytes(),
--- a/crates/hollywell/src/entry/resume.rs
+++ b/crates/hollywell/src/entry/resume.rs
@@ -7,7 +7,7 @@
 use crate::{
     core::{
         batch::{Manifest, Partial},
-        dispatch::Item,
+        dispatch::SampleSpec,
     },
     entry::shared::JobPartition,
 };
@@ -23,7 +23,7 @@
     part: usize,
     job: &str,
     head: &Manifest,
-) -> Vec<Item> {
+) -> Vec<SampleSpec> {
     discard_outdated(partitions, head);
     let mut items = Vec::new();
     for (at, sample) in head.samples.iter().enumerate() {
@@ -36,7 +36,7 @@
             job.partials.entry(at).or_insert(text);
         }
         let (group, tokens) = (sample.group.clone(), sample.tokens);
-        items.push(Item { group, tokens, carried });
+        items.push(SampleSpec { group, tokens, carried });
     }
     items
 }
--- a/crates/hollywell/src/entry/run.rs
+++ b/crates/hollywell/src/entry/run.rs
@@ -14,7 +14,7 @@
 use crate::{
     core::{
         batch::{Partial, Sample, TextRef},
-        dispatch::{End, Event, Run, Slot},
+        dispatch::{End, Event, Run, SampleId},
         fleet::Announcement,
         poison::{Digest, Verdict},
     },
@@ -66,7 +66,7 @@
 }
 
 /// Starts a run in a task of its own.
-pub fn start(shared: &Rc<Shared>, run: Run, slot: Slot, target: &str, priority: u8) {
+pub fn start(shared: &Rc<Shared>, run: Run, sample_id: SampleId, target: &str, priority: u8) {
     let announcement = {
         let control = shared.control.borrow();
         control.fleet.targets.get(target).map(|target| target.announcement.clone())
@@ -81,11 +81,16 @@
     let task = tokio::task::spawn_local({
         let shared = shared.clone();
         async move {
-            let end = execute(&shared, run, &slot, &announcement, priority).await;
+            let end = execute(&shared, run, &sample_id, &announcement, priority).await;
             let events = || {
-                shared.control.borrow().partial_texts.get(&slot).map_or(0, |text| text.last_event)
+                shared
+                    .control
+                    .borrow()
+                    .partial_texts
+                    .get(&sample_id)
+                    .map_or(0, |text| text.last_event)
             };
-            let (job, at, id) = (&slot.job, slot.at, &announcement.id);
+            let (job, at, id) = (&sample_id.job, sample_id.index, &announcement.id);
             log::debug!("sample {job}/{at} at {id}: {end:?}, {} events", events());
             shared.meters.runs.with_label_values(&[&format!("{end:?}")]).inc();
             shared.control.borrow_mut().runs.remove(&run);
@@ -97,9 +102,9 @@
 
 /// Loads the partial text that another instance, or an earlier run of this one,
 /// left in the store, if it is longer than the text in memory.
-async fn load_partial(shared: &Rc<Shared>, slot: &Slot) {
-    let part = shared.partition_of(&slot.job);
-    let Some(partial) = stored_partial(shared, part, slot) else {
+async fn load_partial(shared: &Rc<Shared>, sample_id: &SampleId) {
+    let part = shared.partition_of(&sample_id.job);
+    let Some(partial) = stored_partial(shared, part, sample_id) else {
         return;
     };
     let data = match texts::fetch(shared, &partial.texts).await {
@@ -107,20 +112,24 @@
         // A longer text has replaced it, or the store is unavailable. The run
         // then resumes from the text in memory, or starts from scratch.
         Err(fault) => {
-            log::info!("failed to read the partial text of {}/{}: {fault}", slot.job, slot.at);
+            log::info!(
+                "failed to read the partial text of {}/{}: {fault}",
+                sample_id.job,
+                sample_id.index
+            );
             return;
         }
     };
     let Ok(data) = String::from_utf8(data) else {
-        log::error!("the partial text of {}/{} is not UTF-8", slot.job, slot.at);
+        log::error!("the partial text of {}/{} is not UTF-8", sample_id.job, sample_id.index);
         return;
     };
     let mut control = shared.control.borrow_mut();
-    let in_memory = control.partial_texts.get(slot).map_or(0, |text| text.last_event);
+    let in_memory = control.partial_texts.get(sample_id).map_or(0, |text| text.last_event);
     if partial.last > in_memory {
         // Records of an earlier job are deleted with that job, so the text has
         // to be stored again under this one.
-        let is_own = partial.belongs_to(&slot.job);
+        let is_own = partial.belongs_to(&sample_id.job);
         let text = GeneratedText {
             last_event: partial.last,
             versions: partial.versions.into_iter().collect(),
@@ -131,17 +140,17 @@
             data,
             identity: Rc::default(),
         };
-        control.partial_texts.insert(slot.clone(), text);
+        control.partial_texts.insert(sample_id.clone(), text);
     }
 }
 
 /// The partial text of a sample in the store, if it is longer than the text in
 /// memory and its versions are allowed.
-fn stored_partial(shared: &Shared, part: usize, slot: &Slot) -> Option<Partial> {
+fn stored_partial(shared: &Shared, part: usize, sample_id: &SampleId) -> Option<Partial> {
     let control = shared.control.borrow();
-    let job = control.partitions[part].index.jobs.get(&slot.job)?;
-    let partial = job.partials.get(&slot.at)?;
-    let in_memory = control.partial_texts.get(slot).map_or(0, |text| text.last_event);
+    let job = control.partitions[part].index.jobs.get(&sample_id.job)?;
+    let partial = job.partials.get(&sample_id.index)?;
+    let in_memory = control.partial_texts.get(sample_id).map_or(0, |text| text.last_event);
     let allowed = partial.is_allowed(job.manifest.min_version);
     (partial.last > in_memory && allowed).then(|| partial.clone())
 }
@@ -149,18 +158,18 @@
 async fn execute(
     shared: &Rc<Shared>,
     run: Run,
-    slot: &Slot,
+    sample_id: &SampleId,
     target: &Announcement,
     priority: u8,
 ) -> End {
-    let Some(sample) = samples::get(shared, slot).await else {
+    let Some(sample) = samples::get(shared, sample_id).await else {
         return End::Unready;
     };
-    load_partial(shared, slot).await;
-    let Some(request) = request(shared, slot, &sample, target, priority) else {
+    load_partial(shared, sample_id).await;
+    let Some(request) = request(shared, sample_id, &sample, target, priority) else {
         return End::Impossible;
     };
-    let digest = digest(shared, slot, &sample);
+    let digest = digest(shared, sample_id, &sample);
     // Checked last: an instance that ran the sample before may just have
     // reported a crash under it.
     let is_held_back = match suspects::verdict(shared, || digest) {
@@ -175,9 +184,9 @@
         return End::Held;
     }
     let last_event =
-        || shared.control.borrow().partial_texts.get(slot).map_or(0, |text| text.last_event);
+        || shared.control.borrow().partial_texts.get(sample_id).map_or(0, |text| text.last_event);
     let last_before = last_event();
-    let end = exchange(shared, run, slot, target, digest, request).await;
+    let end = exchange(shared, run, sample_id, target, digest, request).await;
     // A sample that made progress is not the one that crashed its target.
     let may_have_ended = matches!(end, End::Broken | End::Stale) && last_event() == last_before;
     if may_have_ended && suspects::check_ended(shared, target, digest, false).await {
@@ -187,9 +196,10 @@
 }
 
 /// Identifies a sample's content across jobs, retries and instances.
-fn digest(shared: &Shared, slot: &Slot, sample: &Sample) -> Digest {
+fn digest(shared: &Shared, sample_id: &SampleId, sample: &Sample) -> Digest {
     let control = shared.control.borrow();
-    let job = control.partitions[shared.partition_of(&slot.job)].index.jobs.get(&slot.job);
+    let job =
+        control.partitions[shared.partition_of(&sample_id.job)].index.jobs.get(&sample_id.job);
     let (host, organisation) =
         job.map_or(("", ""), |job| (&job.manifest.host, &job.manifest.organisation));
     Digest::of(&["POST", host, &sample.path, organisation], &sample.body)
@@ -198,19 +208,19 @@
 async fn exchange(
     shared: &Rc<Shared>,
     run: Run,
-    slot: &Slot,
+    sample_id: &SampleId,
     target: &Announcement,
     digest: Digest,
     request: Request<Full<Bytes>>,
 ) -> End {
-    let still_allowed = || shared.may_send(slot) && shared.may_send_to(target);
+    let still_allowed = || shared.may_send(sample_id) && shared.may_send_to(target);
     let sent = shared.pool.send_if(target.address, request, RUN_TIMEOUT, still_allowed).await;
     let response = match sent {
         Ok(response) => response,
         Err(Error::Cancelled) => return End::Unready,
         Err(Error::StaleConnection) => return End::Stale,
         Err(error) => {
-            log::info!("sample {}/{} at {}: {error}", slot.job, slot.at, target.id);
+            log::info!("sample {}/{} at {}: {error}", sample_id.job, sample_id.index, target.id);
             return if error.is_not_sent() { End::Unreached } else { End::Broken };
         }
     };
@@ -220,13 +230,13 @@
         shared.control.borrow_mut().observations.record_load(now, &target.id, load);
     }
     match response.head.status {
-        StatusCode::OK => stream(shared, run, slot, target, digest, response).await,
+        StatusCode::OK => stream(shared, run, sample_id, target, digest, response).await,
         StatusCode::MISDIRECTED_REQUEST => End::Misdirected,
         StatusCode::UNPROCESSABLE_ENTITY => End::Impossible,
         StatusCode::INTERNAL_SERVER_ERROR => End::Failed,
         status => {
             let was_not_run = response.head.headers.contains_key(&headers.not_run);
-            log::debug!("sample {}/{} at {}: {status}", slot.job, slot.at, target.id);
+            log::debug!("sample {}/{} at {}: {status}", sample_id.job, sample_id.index, target.id);
             if was_not_run { End::Full } else { End::Broken }
         }
     }
@@ -234,13 +244,14 @@
 
 fn request(
     shared: &Shared,
-    slot: &Slot,
+    sample_id: &SampleId,
     sample: &Sample,
     target: &Announcement,
     priority: u8,
 ) -> Option<Request<Full<Bytes>>> {
     let control = shared.control.borrow();
-    let job = control.partitions[shared.partition_of(&slot.job)].index.jobs.get(&slot.job)?;
+    let job =
+        control.partitions[shared.partition_of(&sample_id.job)].index.jobs.get(&sample_id.job)?;
     let headers = &shared.codec.headers;
     let mut request = Request::post(sample.path.as_str())
         .header(http::header::HOST, job.manifest.host.as_str())
@@ -253,11 +264,16 @@
     for header in &sample.headers {
         request = request.header(header.name.as_str(), header.value.as_str());
     }
-    let last = control.partial_texts.get(slot).map_or(0, |text| text.last_event);
+    let last = control.partial_texts.get(sample_id).map_or(0, |text| text.last_event);
     if last > 0 {
         request = request.header(&headers.last_event, HeaderValue::from(last));
     }
-    log::debug!("sample {}/{} starts at {} after event {last}", slot.job, slot.at, target.id);
+    log::debug!(
+        "sample {}/{} starts at {} after event {last}",
+        sample_id.job,
+        sample_id.index,
+        target.id
+    );
     request.body(Full::new(sample.body.clone())).ok()
 }
 
@@ -265,7 +281,7 @@
 struct Context<'a> {
     shared: &'a Rc<Shared>,
     run: Run,
-    slot: &'a Slot,
+    sample_id: &'a SampleId,
     target: &'a Announcement,
     digest: Digest,
     model: String,
@@ -277,14 +293,19 @@
 impl Context<'_> {
     /// Logs why a run failed and returns its end.
     fn broken(&self, why: &dyn std::fmt::Display) -> End {
-        log::info!("sample {}/{} at {}: {why}", self.slot.job, self.slot.at, self.target.id);
+        log::info!(
+            "sample {}/{} at {}: {why}",
+            self.sample_id.job,
+            self.sample_id.index,
+            self.target.id
+        );
         End::Broken
     }
 
     /// Records that the target serves a version of the model.
     fn saw(&self, version: u64) {
-        let Announcement { id, born, .. } = self.target;
-        self.shared.control.borrow_mut().fleet.record_version(id, *born, &self.model, version);
+        let Announcement { id, start_ms, .. } = self.target;
+        self.shared.control.borrow_mut().fleet.record_version(id, *start_ms, &self.model, version);
     }
 
     /// Appends one complete event to the sample's text. `version` is the version
@@ -304,7 +325,7 @@
         }
         {
             let mut control = self.shared.control.borrow_mut();
-            let text = control.partial_texts.entry(self.slot.clone()).or_default();
+            let text = control.partial_texts.entry(self.sample_id.clone()).or_default();
             if chunk.id != text.last_event + 1 {
                 return Err(
                     self.broken(&format!("event {} follows event {}", chunk.id, text.last_event))
@@ -321,7 +342,7 @@
 async fn stream(
     shared: &Rc<Shared>,
     run: Run,
-    slot: &Slot,
+    sample_id: &SampleId,
     target: &Announcement,
     digest: Digest,
     response: IncomingResponse,
@@ -329,13 +350,13 @@
     let context = {
         let control = shared.control.borrow();
         let Some(job) =
-            control.partitions[shared.partition_of(&slot.job)].index.jobs.get(&slot.job)
+            control.partitions[shared.partition_of(&sample_id.job)].index.jobs.get(&sample_id.job)
         else {
             return End::Broken;
         };
         let (model, min_version) = (job.manifest.model.clone(), job.manifest.min_version);
-        let id = job.manifest.samples[slot.at].id.clone();
-        Context { shared, run, slot, target, digest, model, min_version, id }
+        let id = job.manifest.samples[sample_id.index].id.clone();
+        Context { shared, run, sample_id, target, digest, model, min_version, id }
     };
     match events(&context, response).await {
         Ok(()) => End::Whole,
@@ -370,7 +391,7 @@
         return Err(context.broken(&"the stream ends within an event"));
     }
     let control = context.shared.control.borrow();
-    match control.partial_texts.contains_key(context.slot) {
+    match control.partial_texts.contains_key(context.sample_id) {
         true => Ok(()),
         false => Err(context.broken(&"the stream ends without any event")),
     }
--- a/crates/hollywell/src/entry/samples.rs
+++ b/crates/hollywell/src/entry/samples.rs
@@ -11,7 +11,7 @@
     core::{
         batch::{self, Bundle, Sample, SampleMeta, Submission, TextRef},
         capacity::Purpose,
-        dispatch::Slot,
+        dispatch::SampleId,
     },
     entry::{
         shared::{Shared, TEXTS},
@@ -26,14 +26,14 @@
 const READ_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// The request of a sample, read from the store if it is not in memory.
-pub async fn get(shared: &Rc<Shared>, slot: &Slot) -> Option<Sample> {
-    let part = shared.partition_of(&slot.job);
+pub async fn get(shared: &Rc<Shared>, sample_id: &SampleId) -> Option<Sample> {
+    let part = shared.partition_of(&sample_id.job);
     let (bundle, at, text) = {
         let control = shared.control.borrow();
-        let head = &control.partitions[part].index.jobs.get(&slot.job)?.manifest;
-        let brief = head.samples.get(slot.at)?;
+        let head = &control.partitions[part].index.jobs.get(&sample_id.job)?.manifest;
+        let brief = head.samples.get(sample_id.index)?;
         let (bundle, at) = (brief.bundle as usize, brief.at as usize);
-        let cached = control.bundles.get(&(slot.job.clone(), bundle));
+        let cached = control.bundles.get(&(sample_id.job.clone(), bundle));
         if let Some(bundle) = cached {
             return bundle.samples.get(at).cloned();
         }
@@ -45,13 +45,17 @@
         Ok(Err(fault)) => {
             log::info!(
                 "failed to read samples of job {} at offset {}: {fault}",
-                slot.job,
+                sample_id.job,
                 text.offset
             );
             return None;
         }
         Err(_) => {
-            log::info!("reading samples of job {} at offset {} timed out", slot.job, text.offset);
+            log::info!(
+                "reading samples of job {} at offset {} timed out",
+                sample_id.job,
+                text.offset
+            );
             return None;
         }
     };
@@ -60,7 +64,7 @@
         Err(error) => {
             log::error!(
                 "failed to decode samples of job {} at offset {}: {error}",
-                slot.job,
+                sample_id.job,
                 text.offset
             );
             return None;
@@ -68,10 +72,11 @@
     };
     let control = &mut *shared.control.borrow_mut();
     // Don't cache the samples of a job that ended in the meantime.
-    let open = control.partitions[part].index.jobs.get(&slot.job).is_some_and(|job| !job.ended)
-        && !control.ending.is_pending(&slot.job);
+    let open =
+        control.partitions[part].index.jobs.get(&sample_id.job).is_some_and(|job| !job.ended)
+            && !control.ending.is_pending(&sample_id.job);
     if open {
-        control.bundles.insert((slot.job.clone(), bundle), decoded.clone());
+        control.bundles.insert((sample_id.job.clone(), bundle), decoded.clone());
     }
     decoded.samples.get(at).cloned()
 }
