--- a/crates/hollywell/src/entry/jobs.rs
+++ b/crates/hollywell/src/entry/jobs.rs
@@ -116,7 +116,7 @@
     }
     // Samples are stored first. Whatever happens to this append, the job does
     // not exist, and nothing runs, until its metadata is stored.
-    let (samples, bundles) = match samples::put(shared, job, decoded).await {
+    let (samples, bundles) = match samples::store_submission(shared, job, decoded).await {
         Ok(stored) => stored,
         Err(StoreError::Full) => return store_full(shared, job, STORE_FULL_RETRY_MS),
         Err(fault) => {
@@ -469,8 +469,10 @@
             shared.handle_event(&Event::Scored(sample_id));
             return;
         };
-        let plan = shared.control.borrow().configuration.clone();
-        let route = plan.as_ref().and_then(|plan| plan.route(&scorer.host, &scorer.path));
+        let configuration = shared.control.borrow().configuration.clone();
+        let route = configuration
+            .as_ref()
+            .and_then(|configuration| configuration.route(&scorer.host, &scorer.path));
         let Some(mut route) = route.cloned() else {
             sleep(SCORE_RETRY_DELAY).await;
             continue;
