--- a/crates/hollywell/src/entry/capacity.rs
+++ b/crates/hollywell/src/entry/capacity.rs
@@ -102,7 +102,7 @@
             log::info!("store has free capacity again: {used} of {total} bytes known to be used");
         } else {
             log::warn!(
-                "store is nearly full: {used} of {total} bytes known to be used, append refused: {full}"
+                "store is nearly full: {used} of {total} bytes known to be used, reported full: {full}"
             );
         }
     }
--- a/crates/hollywell/src/entry/ends.rs
+++ b/crates/hollywell/src/entry/ends.rs
@@ -108,7 +108,7 @@
 /// appended late: a caller whose submission got no response may request the
 /// end before that. The record is deleted if the job does not appear.
 pub fn store_early_end(shared: &Rc<Shared>, job: &str) {
-    shared.orphans.end(shared.now(), shared.partition_of(job), job);
+    shared.orphans.add_end(shared.now(), shared.partition_of(job), job);
     let (shared, job) = (shared.clone(), job.to_owned());
     tokio::task::spawn_local(async move {
         if let Err(error) = append_end(&shared, &job).await {
@@ -179,7 +179,7 @@
         Ok(notice) => notice,
         Err(status) => return peers::empty_response(status),
     };
-    log::info!("{by} tells of ends of {}", jobs.join(" "));
+    log::info!("{by} reports ends of {}", jobs.join(" "));
     let (_read, open): (Vec<_>, Vec<_>) = jobs.into_iter().partition(|job| is_ended(shared, job));
     handle_event(shared, &Event::Reported { by, jobs: open });
     peers::empty_response(StatusCode::OK)
--- a/crates/hollywell/src/entry/follow.rs
+++ b/crates/hollywell/src/entry/follow.rs
@@ -144,8 +144,8 @@
     /// not read the partition themselves: if their followers read the store
     /// instead, the sources would only wait longer for it.
     async fn ask_sources(&self, shared: &Rc<Shared>, part: &Partition) -> Option<Batch> {
-        let patience = if self.is_current { Duration::ZERO } else { NOT_READY_TIMEOUT };
-        let until = Instant::now() + patience;
+        let timeout = if self.is_current { Duration::ZERO } else { NOT_READY_TIMEOUT };
+        let until = Instant::now() + timeout;
         loop {
             match feed::fetch(shared, part, self.next.unwrap_or(0)).await {
                 feed::Fetched::Batch(batch) => return Some(batch),
@@ -415,10 +415,10 @@
     match (shared.codec.command)(&record.key, record.value.as_deref()) {
         Ok(Some(Command::Configuration(new))) => configuration::adopt(shared, new, "the store"),
         Ok(Some(Command::Version { model, version })) => {
-            configuration::adopt_version(shared, &model, version)
+            configuration::adopt_version(shared, &model, version);
         }
         Ok(Some(Command::Evacuation { domain, is_on })) => {
-            configuration::set_evacuated(shared, &domain, is_on)
+            configuration::set_evacuated(shared, &domain, is_on);
         }
         Ok(None) => {}
         Err(why) => {
--- a/crates/hollywell/src/entry/garbage.rs
+++ b/crates/hollywell/src/entry/garbage.rs
@@ -60,14 +60,14 @@
 impl Orphans {
     /// Adds texts whose append got no response; they are appended again under
     /// other keys.
-    pub fn texts(&self, now: Time, part: usize, keys: impl IntoIterator<Item = String>) {
+    pub fn add_texts(&self, now: Time, part: usize, keys: impl IntoIterator<Item = String>) {
         let due = now.after(LATE_APPEND_MS);
         let orphan = |key| Orphan { part, key, due, needed_by: NeededBy::Nothing };
         self.0.borrow_mut().extend(keys.into_iter().map(orphan));
     }
 
     /// Adds the requests of a job that, as far as is known, was not accepted.
-    pub fn requests(
+    pub fn add_requests(
         &self,
         now: Time,
         part: usize,
@@ -81,7 +81,7 @@
     }
 
     /// Records that a job was not accepted and never will be.
-    pub fn refused(&self, now: Time, job: &str) {
+    pub fn mark_refused(&self, now: Time, job: &str) {
         for orphan in self.0.borrow_mut().iter_mut() {
             if matches!(&orphan.needed_by, NeededBy::Reference(other) if other == job) {
                 orphan.due = now;
@@ -90,7 +90,7 @@
     }
 
     /// Adds the end of an unknown job, which may still be accepted late.
-    pub fn end(&self, now: Time, part: usize, job: &str) {
+    pub fn add_end(&self, now: Time, part: usize, job: &str) {
         let (due, needed_by) = (now.after(LATE_APPEND_MS), NeededBy::Job(job.to_owned()));
         let key = batch::end_record(job).0;
         self.0.borrow_mut().push(Orphan { part, key, due, needed_by });
@@ -100,10 +100,13 @@
 /// Records of one partition to delete after one scan.
 #[derive(Default)]
 struct Deletions {
+    /// Keys of the records.
     keys: Keys,
     /// The states of jobs after the deletion.
     after: Vec<(String, Garbage)>,
+    /// Jobs of which all records are deleted.
     jobs: Vec<String>,
+    /// Keys of the orphans among the records.
     orphans: Vec<String>,
 }
 
--- a/crates/hollywell/src/entry/jobs.rs
+++ b/crates/hollywell/src/entry/jobs.rs
@@ -119,7 +119,7 @@
         Err(StoreError::Full) => return no_room(shared, job, FULL_MS),
         Err(fault) => {
             if fault.is_not_applied() {
-                shared.orphans.refused(shared.now(), job);
+                shared.orphans.mark_refused(shared.now(), job);
             }
             log::info!("job {job} refused, its samples: {fault}");
             return JobReply::Rejected;
@@ -145,7 +145,7 @@
     let what = format!("job {job} of {} samples", decoded.samples.len());
     let kept = keep(shared, part, (key, value), &what, |shared| known(shared, part, job)).await;
     if matches!(kept, JobReply::Rejected | JobReply::StoreFull(_)) {
-        shared.orphans.refused(shared.now(), job);
+        shared.orphans.mark_refused(shared.now(), job);
     }
     if kept == JobReply::Done {
         tokio::task::spawn_local(unstarted::watch(shared.clone(), part, job.to_owned()));
@@ -160,7 +160,7 @@
 fn no_room(shared: &Shared, job: &str, come_back_ms: u64) -> JobReply {
     log::info!("job {job} refused: no room in the store, come back in {come_back_ms} ms");
     shared.meters.jobs_without_space.inc();
-    shared.orphans.refused(shared.now(), job);
+    shared.orphans.mark_refused(shared.now(), job);
     JobReply::StoreFull(come_back_ms)
 }
 
--- a/crates/hollywell/src/entry/orders.rs
+++ b/crates/hollywell/src/entry/orders.rs
@@ -50,7 +50,7 @@
 
 struct OrderIssuer {
     lease: Rc<Lease>,
-    roll: RefCell<weight_loading::State>,
+    loading: RefCell<weight_loading::State>,
 }
 
 /// Competes for the failure domain's lease and sends orders while it is held.
@@ -60,7 +60,7 @@
     let part = Partition::at(LEASES, number.unwrap_or_default());
     let lease = Lease::new(&shared, part, &domain);
     tokio::task::spawn_local(lease.clone().maintain(shared.clone(), is_candidate));
-    let issuer = Rc::new(OrderIssuer { lease, roll: RefCell::default() });
+    let issuer = Rc::new(OrderIssuer { lease, loading: RefCell::default() });
     let mut interval = TICK_INTERVAL;
     loop {
         sleep(interval).await;
@@ -101,8 +101,8 @@
     let orders = {
         let control = &mut *shared.control.borrow_mut();
         control.models.steps = open_steps(control);
-        let mut roll = issuer.roll.borrow_mut();
-        roll.step(now, domain, &control.models, &control.fleet, &control.observations)
+        let mut loading = issuer.loading.borrow_mut();
+        loading.step(now, domain, &control.models, &control.fleet, &control.observations)
     };
     for order in orders {
         tokio::task::spawn_local(execute(shared.clone(), issuer.clone(), order));
@@ -126,7 +126,7 @@
 
 async fn execute(shared: Rc<Shared>, issuer: Rc<OrderIssuer>, order: Order) {
     let Some(report) = fetch_report(&shared, &order.target).await else {
-        issuer.roll.borrow_mut().order_failed(&order.target);
+        issuer.loading.borrow_mut().order_failed(&order.target);
         return;
     };
     apply_report(&shared, &order, &report);
@@ -160,7 +160,7 @@
             // An order without a response may still be carried out; the next
             // report shows it.
             sleep(LOAD_CHECK_INTERVAL).await;
-            issuer.roll.borrow_mut().order_failed(&order.target);
+            issuer.loading.borrow_mut().order_failed(&order.target);
             return;
         }
     }
@@ -175,7 +175,7 @@
         }
         sleep(LOAD_CHECK_INTERVAL).await;
     }
-    issuer.roll.borrow_mut().order_failed(&order.target);
+    issuer.loading.borrow_mut().order_failed(&order.target);
 }
 
 fn apply_report(shared: &Shared, order: &Order, report: &crate::entry::codec::Report) {
--- a/crates/hollywell/src/entry/outbox.rs
+++ b/crates/hollywell/src/entry/outbox.rs
@@ -122,7 +122,7 @@
     let appended = shared.append(append).await;
     if matches!(appended, Err(StoreError::OutcomeUnknown(_))) {
         let keys = keyed.iter().map(|(key, _)| key.clone());
-        shared.orphans.texts(shared.now(), part, keys);
+        shared.orphans.add_texts(shared.now(), part, keys);
     }
     let first = appended?.offset;
     for ((entry, (key, text)), offset) in waiting.iter_mut().zip(keyed).zip(first..) {
@@ -248,7 +248,7 @@
     let append = Append { part: at, records, expected_end: None, purpose };
     let appended = shared.append(append).await;
     if matches!(appended, Err(StoreError::OutcomeUnknown(_))) {
-        shared.orphans.texts(shared.now(), part, keys.clone());
+        shared.orphans.add_texts(shared.now(), part, keys.clone());
     }
     let first = appended?.offset;
     let mut kept = Vec::new();
@@ -266,7 +266,7 @@
     let append = Append { part: at, records, expected_end: None, purpose };
     let noted = shared.append(append).await;
     if noted.as_ref().is_err_and(StoreError::is_not_applied) {
-        shared.orphans.texts(shared.now(), part, keys);
+        shared.orphans.add_texts(shared.now(), part, keys);
     }
     noted.map(|_| kept)
 }
--- a/crates/hollywell/src/entry/samples.rs
+++ b/crates/hollywell/src/entry/samples.rs
@@ -84,7 +84,7 @@
     let keys: Vec<String> =
         bundles.iter().map(|_| batch::bundle_key(job, &shared.unique_key_part())).collect();
     // Should the caller leave, or the job be refused, nothing names them.
-    shared.orphans.requests(shared.now(), part, job, keys.iter().cloned());
+    shared.orphans.add_requests(shared.now(), part, job, keys.iter().cloned());
     let part = u32::try_from(part).unwrap_or_default();
     let mut refs = Vec::new();
     let mut records: Vec<(Option<String>, Bytes)> = Vec::new();
--- a/crates/hollywell/src/entry/serve.rs
+++ b/crates/hollywell/src/entry/serve.rs
@@ -36,7 +36,7 @@
         relay::Relay,
         reload,
         settings::{Settings, Store},
-        shared::{Control, JOB_PARTS, JobPartition, Shared},
+        shared::{Control, JOB_PARTITIONS, JobPartition, Shared},
         store::Client,
         suspects,
         texts::TextCache,
@@ -94,7 +94,7 @@
     let domain = domain.map(|number| format!("+{number}{link}")).unwrap_or_default();
     let me = format!("{}@{}{domain}/{incarnation:x}", settings.name, settings.peer_listen);
     let writer = format!("{:08x}", xxhash_rust::xxh3::xxh3_64(me.as_bytes()) & u64::from(u32::MAX));
-    let parts = JOB_PARTS.min(settings.store.parts).max(1) as usize;
+    let parts = JOB_PARTITIONS.min(settings.store.parts).max(1) as usize;
     let control = Control {
         configuration: None,
         configuration_read_at: None,
--- a/crates/hollywell/src/entry/shared.rs
+++ b/crates/hollywell/src/entry/shared.rs
@@ -57,7 +57,7 @@
 pub const TEXTS: &str = "keyed.texts";
 /// Partitions used of each of the two topics. One would carry today's load;
 /// with several, a large submission does not delay the results of other jobs.
-pub const JOB_PARTS: u32 = 4;
+pub const JOB_PARTITIONS: u32 = 4;
 /// Age in milliseconds at which the local state of a job partition counts as
 /// stale while the store answers other calls. One of its jobs may have been
 /// ended meanwhile, and no sample of a job may be sent later than three
@@ -265,7 +265,7 @@
     /// The partition number of a job, by a hash of its id.
     #[must_use]
     pub fn partition_of(&self, job: &str) -> usize {
-        let parts = u64::from(JOB_PARTS.min(self.settings.store.parts).max(1));
+        let parts = u64::from(JOB_PARTITIONS.min(self.settings.store.parts).max(1));
         usize::try_from(xxhash_rust::xxh3::xxh3_64(job.as_bytes()) % parts).unwrap_or_default()
     }
 
--- a/crates/hollywell/src/entry/store.rs
+++ b/crates/hollywell/src/entry/store.rs
@@ -41,11 +41,15 @@
         match self {
             StoreError::Refused(why) => write!(f, "the store refused: {why}"),
             StoreError::Full => f.write_str("the store is full"),
-            StoreError::TimedOut => f.write_str("the store was silent for too long"),
-            StoreError::OutcomeUnknown(why) => write!(f, "no answer of the store: {why}"),
+            StoreError::TimedOut => {
+                f.write_str("the store made no progress within the idle timeout")
+            }
+            StoreError::OutcomeUnknown(why) => write!(f, "no response of the store: {why}"),
             StoreError::EndMismatch(end) => write!(f, "the partition ends at {end}"),
-            StoreError::Trimmed(first) => write!(f, "records before {first} are gone"),
-            StoreError::Malformed(why) => write!(f, "the store's answer is malformed: {why}"),
+            StoreError::Trimmed(first) => write!(f, "records before {first} were trimmed"),
+            StoreError::Malformed(why) => {
+                write!(f, "the response of the store is malformed: {why}")
+            }
         }
     }
 }
