--- a/crates/hollywell/src/entry/follow.rs
+++ b/crates/hollywell/src/entry/follow.rs
@@ -365,7 +365,7 @@
     now: Time,
     announcement: Announcement,
 ) {
-    let (id, born) = (announcement.id.clone(), announcement.born);
+    let (id, born) = (announcement.id.clone(), announcement.start_ms);
     match control.fleet.announce(now, announcement) {
         AnnounceOutcome::Accepted => {}
         AnnounceOutcome::Outdated => log::info!("entry of {id}, start {born:?}, is out of date"),
