--- a/crates/hollywell/src/entry/shared.rs
+++ b/crates/hollywell/src/entry/shared.rs
@@ -458,10 +458,10 @@
             Change::Opened(job) => self.open_job(part, job),
             Change::Skipped(skip) => log::warn!("{skip}"),
             Change::ResultStored(job, at) => {
-                self.handle_event(&Event::ResultStored(SampleId { job, index: at }))
+                self.handle_event(&Event::ResultStored(SampleId { job, index: at }));
             }
             Change::PartialStored(job, at) => {
-                self.partial_text_grew(part, SampleId { job, index: at })
+                self.partial_text_grew(part, SampleId { job, index: at });
             }
             Change::Ended(job) | Change::Deleted(job) => {
                 self.close_job(&job);
