--- a/crates/hollywell/src/core/owner/handoff.rs
+++ b/crates/hollywell/src/core/owner/handoff.rs
@@ -72,7 +72,7 @@
     }
 }
 
-/// A [`ClaimLoss`] as handed from one instance to another.
+/// Keys whose claims were lost, as handed from one instance to another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimLossCopy {
     /// The map in which the claims may have been made.
--- a/crates/hollywell/src/entry/lease.rs
+++ b/crates/hollywell/src/entry/lease.rs
@@ -129,7 +129,7 @@
                     let value = record.value.clone().unwrap_or_default();
                     match serde_json::from_slice::<Claim>(&value) {
                         Ok(claim) => {
-                            state.observe(&shared.instance_id, shared.now(), record.offset, &claim)
+                            state.observe(&shared.instance_id, shared.now(), record.offset, &claim);
                         }
                         Err(error) => log::warn!("claim at {} skipped: {error}", record.offset),
                     }
--- a/crates/hollywell/src/entry/reader.rs
+++ b/crates/hollywell/src/entry/reader.rs
@@ -152,7 +152,7 @@
                 timeout.record_answer(u64::try_from(beyond).unwrap_or(u64::MAX));
             }
             Err(StoreError::TimedOut) if !self.store_unavailable.get() => {
-                timeout.record_timeout(limit_ms)
+                timeout.record_timeout(limit_ms);
             }
             _ => {}
         }
