--- a/crates/hollywell/src/core/dispatch/mod.rs
+++ b/crates/hollywell/src/core/dispatch/mod.rs
@@ -109,7 +109,8 @@
     pub tokens: u32,
     /// The sample was already requested by an earlier step and is resumed. The
     /// trainer waits for all resumed samples, however many others are complete.
-    pub carried: bool,
+    #[serde(rename = "carried")]
+    pub resumed: bool,
 }
 
 /// What the reducer needs to know of a job.
@@ -381,7 +382,7 @@
         // longest first, since a step ends with its longest sample.
         order.sort_by_key(|at| {
             let item = &work.samples[*at];
-            (!item.carried, std::cmp::Reverse(item.tokens))
+            (!item.resumed, std::cmp::Reverse(item.tokens))
         });
         self.arrival.push(work.job.clone());
         self.jobs.insert(
@@ -638,7 +639,7 @@
 fn priority(item: &Item, longest: u32) -> u8 {
     const FIRST: u64 = 4;
     const STEPS: u64 = 4;
-    if item.carried {
+    if item.resumed {
         return FIRST as u8;
     }
     let share = u64::from(item.tokens) * STEPS / u64::from(longest.max(1));
--- a/crates/hollywell/src/entry/resume.rs
+++ b/crates/hollywell/src/entry/resume.rs
@@ -27,7 +27,7 @@
     let mut items = Vec::new();
     for (at, sample) in head.samples.iter().enumerate() {
         let earlier = earlier(partitions, job, &sample.id);
-        let carried = earlier.is_some();
+        let resumed = earlier.is_some();
         let text = earlier.flatten().filter(|text| text.is_allowed(head.min_version));
         if let (Some(text), Some(job)) = (text, partitions[part].index.jobs.get_mut(job))
             && !job.done[at]
@@ -35,7 +35,7 @@
             job.partials.entry(at).or_insert(text);
         }
         let (group, tokens) = (sample.group.clone(), sample.tokens);
-        items.push(Item { group, tokens, carried });
+        items.push(Item { group, tokens, resumed });
     }
     items
 }
--- a/crates/hollywell/tests/dispatch.rs
+++ b/crates/hollywell/tests/dispatch.rs
@@ -37,7 +37,7 @@
     let item = |(n, tokens): (usize, &u32)| Item {
         group: format!("g{n}"),
         tokens: *tokens,
-        carried: false,
+        resumed: false,
     };
     let samples: Vec<Item> = hints.iter().enumerate().map(item).collect();
     Work {
@@ -247,7 +247,7 @@
 fn samples_that_an_earlier_step_asked_for_come_before_longer_ones() {
     let mut world = world(&[target("a", 1)]);
     let mut job = work("j", &[900, 100]);
-    job.samples[1].carried = true;
+    job.samples[1].resumed = true;
     let effects = world.step(10, &Event::Opened(job));
     let order: Vec<usize> = starts(&effects).iter().map(|start| start.1).collect();
     assert_eq!(order, [1, 0]);
--- a/crates/hollywell/tests/near.rs
+++ b/crates/hollywell/tests/near.rs
@@ -43,7 +43,7 @@
 }
 
 fn work(job: &str, samples: usize) -> Work {
-    let item = |_| Item { group: "g".into(), tokens: 500, carried: false };
+    let item = |_| Item { group: "g".into(), tokens: 500, resumed: false };
     Work {
         job: job.into(),
         part: 0,
--- a/crates/hollywell/tests/usage.rs
+++ b/crates/hollywell/tests/usage.rs
@@ -36,9 +36,9 @@
     let late = a.take_changed("a1");
     b.begin(4, "survey");
     // The same window again, by a peer, and older than what is there.
-    let carried: Vec<_> =
+    let forwarded: Vec<_> =
         early.iter().map(|(key, value)| (forwarded_key(key, "b1"), value.clone())).collect();
-    let all: Vec<_> = [late, b.take_changed("b1"), carried].concat();
+    let all: Vec<_> = [late, b.take_changed("b1"), forwarded].concat();
     let sum = ledger(&all).next(TERMS.settled_ms(4), TERMS, 4);
     assert_eq!(sum, Next::Decide(4, counts(&[("harbour", 1), ("survey", 3)])));
 }
