--- a/crates/hollywell/src/entry/feed.rs
+++ b/crates/hollywell/src/entry/feed.rs
@@ -136,7 +136,7 @@
         let Ok(announced) = (shared.codec.announcement)(&record.key, value) else {
             return true;
         };
-        let announced = Announcement { beats: 0, ..announced };
+        let announced = Announcement { sequence: 0, ..announced };
         self.announced.insert(record.key.clone(), announced.clone()) != Some(announced)
     }
 
--- a/crates/hollywell/src/entry/jobs.rs
+++ b/crates/hollywell/src/entry/jobs.rs
@@ -17,7 +17,7 @@
     core::{
         batch::{self, Manifest, Outcome, Sample, Submission, TextRef},
         capacity::Purpose,
-        dispatch::{Event, Slot},
+        dispatch::{Event, SampleId},
     },
     entry::{
         caller::Caller,
@@ -419,8 +419,8 @@
     let Some(at) = at else {
         return JobReply::NotFound;
     };
-    let slot = Slot { job: job.to_owned(), at };
-    match samples::get(shared, &slot).await {
+    let sample_id = SampleId { job: job.to_owned(), index: at };
+    match samples::get(shared, &sample_id).await {
         Some(sample) => JobReply::Body(sample.body),
         None => JobReply::Unavailable,
     }
@@ -453,20 +453,20 @@
 
 /// Sends the scoring request of a sample whose text is complete, with retries,
 /// until it is scored or its attempts are used up.
-pub async fn score(shared: Rc<Shared>, slot: Slot) {
-    let part = shared.partition_of(&slot.job);
+pub async fn score(shared: Rc<Shared>, sample_id: SampleId) {
+    let part = shared.partition_of(&sample_id.job);
     let (mut failures, mut attempts) = (0, 0);
     loop {
-        let wanted = shared.control.borrow().is_sample_open(part, &slot);
+        let wanted = shared.control.borrow().is_sample_open(part, &sample_id);
         if !wanted {
             return;
         }
-        let Some(Sample { scorer, .. }) = samples::get(&shared, &slot).await else {
+        let Some(Sample { scorer, .. }) = samples::get(&shared, &sample_id).await else {
             sleep(SCORE_RETRY_DELAY).await;
             continue;
         };
         let Some(scorer) = scorer else {
-            shared.handle_event(&Event::Scored(slot));
+            shared.handle_event(&Event::Scored(sample_id));
             return;
         };
         let plan = shared.control.borrow().configuration.clone();
@@ -476,7 +476,7 @@
             continue;
         };
         // One attempt per call, so that each failure is counted here.
-        let max_failures = std::mem::replace(&mut route.attempts, 1).max(1);
+        let max_failures = std::mem::replace(&mut route.max_attempts, 1).max(1);
         let request = PlainRequest {
             method: http::Method::POST,
             target: scorer.path.clone(),
@@ -490,7 +490,7 @@
             digest: OnceCell::new(),
         };
         // Reading the request may have taken a while.
-        if !shared.may_send(&slot) {
+        if !shared.may_send(&sample_id) {
             sleep(SCORE_RETRY_DELAY).await;
             continue;
         }
@@ -499,20 +499,25 @@
         match forward::run(&shared, &route, &request, attempts).await {
             ForwardResult::Answered(answer) if answer.status.is_success() => {
                 let signature = answer.signature(&shared.codec.headers.signature);
-                if let Some(text) = shared.control.borrow_mut().partial_texts.get_mut(&slot) {
+                if let Some(text) = shared.control.borrow_mut().partial_texts.get_mut(&sample_id) {
                     text.score = signature;
                 }
-                shared.handle_event(&Event::Scored(slot));
+                shared.handle_event(&Event::Scored(sample_id));
                 return;
             }
             ForwardResult::Answered(answer) => {
                 if answer.status == http::StatusCode::INTERNAL_SERVER_ERROR {
                     failures += 1;
                 }
-                log::debug!("scoring sample {}/{}: {}", slot.job, slot.at, answer.status);
+                log::debug!(
+                    "scoring sample {}/{}: {}",
+                    sample_id.job,
+                    sample_id.index,
+                    answer.status
+                );
             }
             ForwardResult::Refused(kind, retry_after_ms) => {
-                log::debug!("scoring sample {}/{}: {kind:?}", slot.job, slot.at);
+                log::debug!("scoring sample {}/{}: {kind:?}", sample_id.job, sample_id.index);
                 let retry_after =
                     retry_after_ms.map_or(SCORE_MAX_HELD_DELAY, Duration::from_millis);
                 delay = match kind {
@@ -525,8 +530,12 @@
             }
         }
         if failures >= max_failures {
-            log::info!("scoring sample {}/{} failed {failures} times", slot.job, slot.at);
-            shared.handle_event(&Event::Unscored(slot));
+            log::info!(
+                "scoring sample {}/{} failed {failures} times",
+                sample_id.job,
+                sample_id.index
+            );
+            shared.handle_event(&Event::ScoringFailed(sample_id));
             return;
         }
         sleep(delay).await;
--- a/crates/hollywell/src/entry/shared.rs
+++ b/crates/hollywell/src/entry/shared.rs
@@ -21,7 +21,7 @@
         capacity,
         choice::Observations,
         configuration::{Configuration, RouteKind},
-        dispatch::{self, Effect, Event, Run, Slot, Work},
+        dispatch::{self, Effect, Event, JobSpec, Run, SampleId},
         ending,
         fleet::{Announcement, Fleet},
         group::GroupSize,
@@ -135,7 +135,7 @@
     /// Newest weights of each model, and how much of it is asked for.
     pub models: Models,
     /// Text of samples that are not listed.
-    pub partial_texts: HashMap<Slot, GeneratedText>,
+    pub partial_texts: HashMap<SampleId, GeneratedText>,
     /// Bundles of samples that this instance runs.
     pub bundles: HashMap<(String, usize), Rc<Bundle>>,
     /// Runs in flight.
@@ -158,10 +158,10 @@
     /// Whether a sample, whose job lies in a partition, is still to be
     /// listed: its job is there, and no end of it was read or asked for.
     #[must_use]
-    pub fn is_sample_open(&self, part: usize, slot: &Slot) -> bool {
-        let job = self.partitions[part].index.jobs.get(&slot.job);
-        let open = job.is_some_and(|job| !job.ended && !job.done[slot.at]);
-        open && !self.ending.is_pending(&slot.job)
+    pub fn is_sample_open(&self, part: usize, sample_id: &SampleId) -> bool {
+        let job = self.partitions[part].index.jobs.get(&sample_id.job);
+        let open = job.is_some_and(|job| !job.ended && !job.done[sample_id.index]);
+        open && !self.ending.is_pending(&sample_id.job)
     }
 
     /// Whether what is known of a partition of jobs is out of date.
@@ -365,8 +365,8 @@
 
     fn apply_effect(self: &Rc<Shared>, effect: Effect) {
         match effect {
-            Effect::Start { run, slot, target, priority } => {
-                run::start(self, run, slot, &target, priority);
+            Effect::Start { run, sample_id, target, priority } => {
+                run::start(self, run, sample_id, &target, priority);
             }
             Effect::Cancel(run) => {
                 let handle = self.control.borrow_mut().runs.remove(&run);
@@ -374,18 +374,18 @@
                     handle.abort();
                 }
             }
-            Effect::Moved { slot, target, why } => {
+            Effect::Moved { sample_id, target, why } => {
                 self.meters.moves.with_label_values(&[&format!("{why:?}")]).inc();
-                log::info!("sample {}/{} leaves {target}: {why:?}", slot.job, slot.at);
+                log::info!("sample {}/{} leaves {target}: {why:?}", sample_id.job, sample_id.index);
             }
-            Effect::Discard(slot) => {
-                self.control.borrow_mut().partial_texts.remove(&slot);
+            Effect::Discard(sample_id) => {
+                self.control.borrow_mut().partial_texts.remove(&sample_id);
             }
-            Effect::Score(slot) => {
-                tokio::task::spawn_local(jobs::score(self.clone(), slot));
+            Effect::Score(sample_id) => {
+                tokio::task::spawn_local(jobs::score(self.clone(), sample_id));
             }
-            Effect::Deliver(slot) => outbox::deliver(self, &slot, false),
-            Effect::GiveUp(slot) => outbox::deliver(self, &slot, true),
+            Effect::Deliver(sample_id) => outbox::deliver(self, &sample_id, false),
+            Effect::GiveUp(sample_id) => outbox::deliver(self, &sample_id, true),
         }
     }
 
@@ -444,8 +444,12 @@
         match change {
             Change::Opened(job) => self.open_job(part, job),
             Change::Skipped(skip) => log::warn!("{skip}"),
-            Change::ResultStored(job, at) => self.handle_event(&Event::Listed(Slot { job, at })),
-            Change::PartialStored(job, at) => self.partial_text_grew(part, Slot { job, at }),
+            Change::ResultStored(job, at) => {
+                self.handle_event(&Event::ResultStored(SampleId { job, index: at }))
+            }
+            Change::PartialStored(job, at) => {
+                self.partial_text_grew(part, SampleId { job, index: at })
+            }
             Change::Ended(job) | Change::Deleted(job) => {
                 self.close_job(&job);
                 ends::handle_event(self, &ending::Event::Settled(job));
@@ -457,11 +461,11 @@
     /// known and how old that is. It is asked last of all before a send:
     /// between a decision and its send there may be a pause of any length.
     #[must_use]
-    pub fn may_send(&self, slot: &Slot) -> bool {
+    pub fn may_send(&self, sample_id: &SampleId) -> bool {
         let now = self.now();
         let control = self.control.borrow();
-        let part = self.partition_of(&slot.job);
-        control.is_sample_open(part, slot) && !control.is_stale(now, part)
+        let part = self.partition_of(&sample_id.job);
+        control.is_sample_open(part, sample_id) && !control.is_stale(now, part)
     }
 
     /// Whether a target's failure domain may get something new. It is asked
@@ -483,18 +487,19 @@
 
     /// Tells the reducer how far a sample's kept text goes, where that is
     /// further than this instance's own.
-    fn partial_text_grew(self: &Rc<Shared>, part: usize, slot: Slot) {
+    fn partial_text_grew(self: &Rc<Shared>, part: usize, sample_id: SampleId) {
         let kept = {
             let control = self.control.borrow();
-            let Some(own) = control.partial_texts.get(&slot).map(|text| text.last_event) else {
+            let Some(own) = control.partial_texts.get(&sample_id).map(|text| text.last_event)
+            else {
                 return;
             };
-            let job = control.partitions[part].index.jobs.get(&slot.job);
-            let kept = job.and_then(|job| job.partials.get(&slot.at));
+            let job = control.partitions[part].index.jobs.get(&sample_id.job);
+            let kept = job.and_then(|job| job.partials.get(&sample_id.index));
             kept.map(|kept| kept.last).filter(|last| *last > own)
         };
         if let Some(last) = kept.and_then(|last| u32::try_from(last).ok()) {
-            self.handle_event(&Event::Ahead { slot, last });
+            self.handle_event(&Event::PartialTextStored { sample_id, last });
         }
     }
 
@@ -516,15 +521,15 @@
                 control.unopened_jobs.push(id);
                 return;
             };
-            let keep_ms = batch::retention_left_ms(route.keep_ms, job.manifest.at_ms, unix_ms());
+            let keep_ms = batch::retention_left_ms(route.give_up_ms, job.manifest.at_ms, unix_ms());
             let head = job.manifest.clone();
-            let mut work = Work {
+            let mut work = JobSpec {
                 job: id,
                 part,
                 pool: route.pools.first().map(|(pool, _)| pool.clone()).unwrap_or_default(),
                 model: job.manifest.model.clone(),
                 min_version: job.manifest.min_version,
-                attempts: route.attempts,
+                max_attempts: route.max_attempts,
                 keep_until: self.now().after(keep_ms),
                 samples: vec![],
                 done: job.done.clone(),
