--- a/crates/bench/src/lib.rs
+++ b/crates/bench/src/lib.rs
@@ -163,7 +163,7 @@
 /// A whole sample of a dispatch.
 #[must_use]
 pub fn sampled(dispatch: Dispatch) -> Event {
-    Event::SampleEnded { dispatch, end: rollout::End::Whole(vec![7]) }
+    Event::SampleEnded { dispatch, end: rollout::End::Complete(vec![7]) }
 }
 
 /// A reducer that owns its failure domain's keys alone and knows as much as
--- a/crates/bench/src/measure/world.rs
+++ b/crates/bench/src/measure/world.rs
@@ -340,7 +340,7 @@
                     self.figures.slots_ms.1 += *ms;
                 }
                 let versions = self.engines[engine].versions(trainer, job.began, self.now);
-                Event::SampleEnded { dispatch, end: rollout::End::Whole(versions) }
+                Event::SampleEnded { dispatch, end: rollout::End::Complete(versions) }
             }
         };
         self.after(self.deployment.way_ms, Happening::Event(job.instance, event));
--- a/crates/hollywell/src/core/reducer/samples.rs
+++ b/crates/hollywell/src/core/reducer/samples.rs
@@ -187,7 +187,7 @@
         if let Some(engine) = self.members.targets.get_mut(&attempt.target) {
             engine.samples = engine.samples.saturating_sub(1);
             match end {
-                End::Whole(_) => engine.breaker.succeed(),
+                End::Complete(_) => engine.breaker.succeed(),
                 End::Broken | End::Refused => engine.breaker.fail(self.now),
             }
         }
@@ -207,7 +207,7 @@
             self.emit(Effect::Forget { dispatch });
             return;
         };
-        if let End::Whole(versions) = end {
+        if let End::Complete(versions) = end {
             for version in versions {
                 self.steps.record_version(&row.trainer, *version);
             }
@@ -239,7 +239,7 @@
     }
 
     fn deliver(&mut self, request: Request, dispatch: Dispatch, slot: Slot, end: &End) {
-        if let End::Whole(versions) = end {
+        if let End::Complete(versions) = end {
             let versions = versions.clone();
             self.emit(Effect::Deliver { request, dispatch, slot, versions });
         }
--- a/crates/hollywell/src/core/rollout.rs
+++ b/crates/hollywell/src/core/rollout.rs
@@ -38,7 +38,7 @@
     pub missing: Vec<u32>,
 }
 
-/// A step as a trainer opens it.
+/// A trainer's request to open a step.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Opening {
     /// The trainer.
@@ -69,7 +69,8 @@
 #[serde(rename_all = "snake_case")]
 pub enum End {
     /// The sample is complete and was produced by these versions, in order.
-    Whole(Vec<u64>),
+    #[serde(rename = "whole")]
+    Complete(Vec<u64>),
     /// The stream broke, or parts of it named no version.
     Broken,
     /// The engine refused the request or could not be reached.
@@ -291,7 +292,7 @@
 
 fn judge(slot: Slot, end: &End, oldest: u64) -> Verdict {
     match end {
-        End::Whole(versions) => match versions.iter().min() {
+        End::Complete(versions) => match versions.iter().min() {
             None => Verdict::Unversioned,
             Some(version) if *version < oldest => Verdict::Stale,
             Some(_) => Verdict::Deliver(slot),
--- a/crates/hollywell/src/traffic/executor.rs
+++ b/crates/hollywell/src/traffic/executor.rs
@@ -235,7 +235,7 @@
         match sample {
             Ok(sample) => {
                 self.registry.store_sample(dispatch, sample.text);
-                rollout::End::Whole(sample.versions)
+                rollout::End::Complete(sample.versions)
             }
             Err(end) => end,
         }
--- a/crates/hollywell/tests/interleavings/world/rollouts.rs
+++ b/crates/hollywell/tests/interleavings/world/rollouts.rs
@@ -98,10 +98,10 @@
         let end = if self.chance(u, 12)? {
             rollout::End::Broken
         } else if self.chance(u, 20)? {
-            rollout::End::Whole(vec![])
+            rollout::End::Complete(vec![])
         } else {
             self.trainer.produced(dispatch, (node, run), versions.clone());
-            rollout::End::Whole(versions)
+            rollout::End::Complete(versions)
         };
         let delay = self.delay(u)?;
         let event = Event::SampleEnded { dispatch, end };
--- a/crates/hollywell/tests/reducer/calls.rs
+++ b/crates/hollywell/tests/reducer/calls.rs
@@ -147,7 +147,7 @@
     let dispatch = Dispatch(77);
     let effects = end(&mut state, Time(1_001), dispatch, End::Answered, false);
     assert_eq!(effects, [Effect::Forget { dispatch }]);
-    let whole = SampleEnd::Whole(vec![1]);
+    let whole = SampleEnd::Complete(vec![1]);
     let effects = state.step(Time(1_002), &Event::SampleEnded { dispatch, end: whole });
     assert_eq!(effects, [Effect::Forget { dispatch }]);
 }
--- a/crates/hollywell/tests/reducer/samples.rs
+++ b/crates/hollywell/tests/reducer/samples.rs
@@ -59,7 +59,7 @@
 fn a_bound_that_is_tightened_in_mid_flight_holds_at_delivery() {
     let mut state = rollout_state();
     let started = generated(&state.step(Time(1_003), &open_step(5)));
-    let whole = |dispatch| Event::SampleEnded { dispatch, end: SampleEnd::Whole(vec![4, 5]) };
+    let whole = |dispatch| Event::SampleEnded { dispatch, end: SampleEnd::Complete(vec![4, 5]) };
     assert_eq!(delivered(&state.step(Time(1_004), &whole(started[0]))), 1, "one behind is fine");
     state.step(Time(1_005), &edit(1, Some(0), 0));
     let effects = state.step(Time(1_006), &whole(started[1]));
@@ -70,7 +70,7 @@
 fn a_late_duplicate_is_dropped() {
     let mut state = rollout_state();
     let started = generated(&state.step(Time(1_003), &open_step(4)));
-    let whole = Event::SampleEnded { dispatch: started[0], end: SampleEnd::Whole(vec![4]) };
+    let whole = Event::SampleEnded { dispatch: started[0], end: SampleEnd::Complete(vec![4]) };
     assert_eq!(delivered(&state.step(Time(1_004), &whole)), 1);
     assert_eq!(delivered(&state.step(Time(1_005), &whole)), 0);
 }
@@ -79,7 +79,7 @@
 fn a_sample_that_names_no_version_runs_again() {
     let mut state = rollout_state();
     let started = generated(&state.step(Time(1_003), &open_step(4)));
-    let unnamed = Event::SampleEnded { dispatch: started[0], end: SampleEnd::Whole(vec![]) };
+    let unnamed = Event::SampleEnded { dispatch: started[0], end: SampleEnd::Complete(vec![]) };
     let effects = state.step(Time(1_004), &unnamed);
     assert_eq!((delivered(&effects), generated(&effects).len()), (0, 1));
 }
@@ -90,7 +90,7 @@
     let started = generated(&state.step(Time(1_003), &open_step(4)));
     state.step(Time(1_004), &Event::Drain);
     for (number, dispatch) in started.iter().enumerate() {
-        let whole = Event::SampleEnded { dispatch: *dispatch, end: SampleEnd::Whole(vec![4]) };
+        let whole = Event::SampleEnded { dispatch: *dispatch, end: SampleEnd::Complete(vec![4]) };
         let effects = state.step(Time(1_005 + number as u64), &whole);
         assert_eq!(delivered(&effects), 1, "what is in flight is delivered");
         let ended = |effect: &Effect| match effect {
@@ -129,7 +129,7 @@
     }
     let mut running = generated(&state.step(Time(1_003), &open_step(4)));
     let last = running.pop().expect("two samples were started");
-    let whole = |dispatch| Event::SampleEnded { dispatch, end: SampleEnd::Whole(vec![4]) };
+    let whole = |dispatch| Event::SampleEnded { dispatch, end: SampleEnd::Complete(vec![4]) };
     let next = generated(&state.step(Time(1_103), &whole(running[0])));
     let early = state.step(Time(1_150), &Event::Tick);
     assert_eq!(generated(&early), [], "147 ms are less than twice the average of 100 ms");
@@ -153,12 +153,12 @@
     let second = generated(&hedge)[0];
     let effects = state.step(
         Time(1_300),
-        &Event::SampleEnded { dispatch: second, end: SampleEnd::Whole(vec![4]) },
+        &Event::SampleEnded { dispatch: second, end: SampleEnd::Complete(vec![4]) },
     );
     assert_eq!(delivered(&effects), 1);
     assert!(effects.contains(&Effect::Cancel { dispatch: straggler }));
     // The loser's stream was whole after all, a moment too late.
-    let late = Event::SampleEnded { dispatch: straggler, end: SampleEnd::Whole(vec![4]) };
+    let late = Event::SampleEnded { dispatch: straggler, end: SampleEnd::Complete(vec![4]) };
     assert_eq!(delivered(&state.step(Time(1_301), &late)), 0);
 }
 
@@ -199,7 +199,7 @@
     let running = generated(&state.step(Time(1_003), &opened));
     assert_eq!(running.len(), 10);
     for dispatch in &running[..7] {
-        let whole = SampleEnd::Whole(vec![4]);
+        let whole = SampleEnd::Complete(vec![4]);
         state.step(Time(1_103), &Event::SampleEnded { dispatch: *dispatch, end: whole });
     }
     // Three samples straggle, and a tenth of ten is one.
