--- a/crates/hollywell/src/core/batch/mod.rs
+++ b/crates/hollywell/src/core/batch/mod.rs
@@ -278,7 +278,7 @@
 pub fn bundle(submission: &Submission, max_bytes: usize) -> (Vec<SampleMeta>, Vec<Bundle>) {
     let mut bundles: Vec<Bundle> = Vec::new();
     let mut open: HashMap<&str, (usize, usize)> = HashMap::new();
-    let mut briefs = Vec::new();
+    let mut metadata = Vec::new();
     for sample in &submission.samples {
         let bytes = sample.encoded_len() + SAMPLE_OVERHEAD;
         let fits = open.get(sample.group.as_str()).filter(|(_, used)| used + bytes <= max_bytes);
@@ -289,7 +289,7 @@
         open.insert(&sample.group, (bundle, used + bytes));
         let at = bundles[bundle].samples.len();
         bundles[bundle].samples.push(sample.clone());
-        briefs.push(SampleMeta {
+        metadata.push(SampleMeta {
             id: sample.id.clone(),
             group: sample.group.clone(),
             tokens: sample.tokens_hint,
@@ -297,7 +297,7 @@
             at: u32::try_from(at).unwrap_or(u32::MAX),
         });
     }
-    (briefs, bundles)
+    (metadata, bundles)
 }
 
 /// Bytes that a sample adds to a bundle besides its own encoding.
--- a/crates/hollywell/src/core/reducer/mod.rs
+++ b/crates/hollywell/src/core/reducer/mod.rs
@@ -217,16 +217,23 @@
     now: Time,
     members: Members,
     fold: Fold,
+    /// Since when a peer has been ahead of this instance.
     behind_since: Option<Time>,
+    /// Whether the log was read to its end without a gap.
     log_read: bool,
     snapshot_at: Time,
     snapshot_tried_at: Time,
     owner: owner::State,
+    /// Members that the map should have, and since when.
     desired: (BTreeSet<Instance>, Time),
     proposed_at: Option<Time>,
     claims: Claims,
+    /// Number of the last refusal as an owner, or of the last activation.
     refusals: u64,
+    /// Times of the latest refusals, with their numbers.
     refused_at: VecDeque<(Time, u64)>,
+    /// Number of the last activation in the order of refusals. Sends whose
+    /// entry did not know of it yet must not run.
     activated_order: u64,
     pending_copies: BTreeMap<String, PendingCopy>,
     pending: BTreeMap<Request, Pending>,
@@ -236,14 +243,17 @@
     steps: Steps,
     edits: Vec<PendingEdit>,
     lease: lease::State,
+    /// When orders may be sent, after the lease was acquired.
     lease_from: Time,
     sent_orders: BTreeMap<String, orders::SentOrder>,
     pacer: Pacer,
     draining: Option<Time>,
     idle_ticks: u32,
     exited: bool,
+    /// Number of targets chosen so far, for round robin.
     choices: u64,
     rng: SmallRng,
+    /// Effects of the current event.
     out: Vec<Effect>,
 }
 
