--- a/crates/hollywell/src/entry/caller.rs
+++ b/crates/hollywell/src/entry/caller.rs
@@ -4,7 +4,7 @@
 //! "Unknown key" and "no such route" are statements about the newest
 //! configuration. If this instance's configuration may be out of date, the
 //! request waits for the next refresh, which all waiting requests share; if
-//! none arrives in time, the caller is refreshed that the store is unavailable.
+//! none arrives in time, the caller is told that the store is unavailable.
 //! Requests with bad keys therefore never cause a call of their own.
 //!
 //! How a key maps to an organisation is defined in
@@ -122,8 +122,8 @@
 ///
 /// # Errors
 ///
-/// Why the request is refused; [`Kind::StoreUnavailable`] if no configuration that is
-/// fresh enough arrived in time.
+/// Why the request is refused; [`Kind::StoreUnavailable`] if no configuration
+/// that is fresh enough arrived in time.
 pub async fn identify_for_route(
     shared: &Rc<Shared>,
     host: &str,
--- a/crates/hollywell/src/entry/configuration.rs
+++ b/crates/hollywell/src/entry/configuration.rs
@@ -72,9 +72,9 @@
 /// Records the newest version of a model's weights.
 pub(super) fn adopt_version(shared: &Shared, model: &str, version: u64) {
     let mut control = shared.control.borrow_mut();
-    let named = control.models.newest.entry(model.to_owned()).or_insert(0);
-    if *named < version {
-        *named = version;
+    let newest = control.models.newest.entry(model.to_owned()).or_insert(0);
+    if *newest < version {
+        *newest = version;
         log::info!("model {model} is named version {version}");
     }
 }
@@ -91,8 +91,9 @@
     }
 }
 
-/// Sets the failure domains that are evacuated. All others become available,
-/// except those for which `keep` returns true because their state is unknown.
+/// Sets the failure domains that are evacuated. All others are no longer
+/// evacuated, except those for which `keep` returns true because their state is
+/// unknown.
 pub(super) fn replace_evacuated(
     shared: &Shared,
     on: &BTreeSet<String>,
--- a/crates/hollywell/src/entry/forward.rs
+++ b/crates/hollywell/src/entry/forward.rs
@@ -100,8 +100,9 @@
     #[must_use]
     pub fn digest(&self) -> Digest {
         *self.digest.get_or_init(|| {
-            // The organisation, not its API key: rotating the key must not
-            // clear a poison request.
+            // If the configuration has organisations, the header was removed
+            // and the organisation is used instead: rotating an API key must
+            // not clear a poison request.
             let caller = match self.headers.get(header::AUTHORIZATION) {
                 Some(key) => String::from_utf8_lossy(key.as_bytes()),
                 None => self.organisation.as_str().into(),
--- a/crates/hollywell/src/entry/ingress.rs
+++ b/crates/hollywell/src/entry/ingress.rs
@@ -58,7 +58,7 @@
 }
 
 impl OpenRequests {
-    /// The parse_number of requests in progress.
+    /// The number of requests in progress.
     #[must_use]
     pub fn count(&self) -> usize {
         self.requests.get()
@@ -242,7 +242,7 @@
 
 /// The configuration, once it and the poison state are loaded. Without the
 /// poison state, an instance that starts would send poison requests that the
-/// other instances max_wait back, and crash their targets.
+/// other instances hold back, and crash their targets.
 fn loaded_configuration(shared: &Shared) -> Option<Rc<Configuration>> {
     let control = shared.control.borrow();
     control.configuration.clone().filter(|_| control.poison_loaded)
@@ -344,8 +344,8 @@
     path: &str,
     raw: &[u8],
 ) -> HttpResponse {
-    let mut decoded = match (shared.codec.submission)(raw) {
-        Ok(decoded) => decoded,
+    let mut submission = match (shared.codec.submission)(raw) {
+        Ok(submission) => submission,
         Err(why) => {
             log::info!("job {id} is malformed: {why}");
             return refuse(shared, Kind::Malformed);
@@ -353,11 +353,11 @@
     };
     if *caller != Caller::Unrestricted {
         let reserved = [header::AUTHORIZATION.as_str(), shared.codec.headers.organisation.as_str()];
-        decoded.remove_headers(&reserved);
+        submission.remove_headers(&reserved);
     }
-    let done = jobs::submit(shared, caller, id, host, path, &decoded).await;
-    let accepted = done == JobReply::Done;
-    let mut response = reply(shared, done);
+    let job_reply = jobs::submit(shared, caller, id, host, path, &submission).await;
+    let accepted = job_reply == JobReply::Done;
+    let mut response = reply(shared, job_reply);
     if accepted {
         *response.status_mut() = StatusCode::ACCEPTED;
     }
--- a/crates/hollywell/src/entry/jobs.rs
+++ b/crates/hollywell/src/entry/jobs.rs
@@ -91,13 +91,13 @@
     job: &str,
     host: &str,
     path: &str,
-    decoded: &Submission,
+    submission: &Submission,
 ) -> JobReply {
     let part = shared.partition_of(job);
     if let Some(reply) = reply_to_duplicate(shared, caller, part, job) {
         return reply;
     }
-    if !batch::is_id(job) || decoded.samples.iter().any(|sample| !batch::is_id(&sample.id)) {
+    if !batch::is_id(job) || submission.samples.iter().any(|sample| !batch::is_id(&sample.id)) {
         return JobReply::Malformed(format!(
             "ids must have 1 to {} bytes and contain no '|'",
             batch::MAX_ID_LEN
@@ -111,35 +111,35 @@
         return reply;
     }
     log::debug!("job {job} is not known here; read to the end of partition {part}: {current}");
-    if let Err(retry_after_ms) = capacity::admit(shared, decoded) {
+    if let Err(retry_after_ms) = capacity::admit(shared, submission) {
         return store_full(shared, job, retry_after_ms);
     }
     // Samples are stored first. Whatever happens to this append, the job does
     // not exist, and nothing runs, until its metadata is stored.
-    let (samples, bundles) = match samples::store_submission(shared, job, decoded).await {
+    let (samples, bundles) = match samples::store_submission(shared, job, submission).await {
         Ok(stored) => stored,
         Err(StoreError::Full) => return store_full(shared, job, STORE_FULL_RETRY_MS),
-        Err(fault) => {
-            if fault.is_not_applied() {
+        Err(error) => {
+            if error.is_not_applied() {
                 shared.orphans.refused(shared.now(), job);
             }
-            log::info!("job {job} refused: its samples could not be stored: {fault}");
+            log::info!("job {job} refused: its samples could not be stored: {error}");
             return JobReply::Rejected;
         }
     };
-    let head = Manifest {
+    let manifest = Manifest {
         host: host.to_owned(),
         path: path.to_owned(),
         at_ms: unix_ms(),
-        step: decoded.step,
-        model: decoded.model.clone(),
-        min_version: decoded.min_version,
-        groups_wanted: decoded.groups_wanted,
+        step: submission.step,
+        model: submission.model.clone(),
+        min_version: submission.min_version,
+        groups_wanted: submission.groups_wanted,
         samples,
         bundles,
         organisation: caller.organisation().to_owned(),
     };
-    let (key, value) = batch::manifest_record(job, &head);
+    let (key, value) = batch::manifest_record(job, &manifest);
     let max_bytes = shared.settings.store.record_bytes;
     if key.len() + value.len() >= max_bytes {
         return JobReply::Malformed(format!(
@@ -147,7 +147,7 @@
             value.len()
         ));
     }
-    let what = format!("job {job} of {} samples", decoded.samples.len());
+    let what = format!("job {job} of {} samples", submission.samples.len());
     let reply =
         append_metadata(shared, part, (key, value), &what, |shared| is_known(shared, part, job))
             .await;
@@ -189,12 +189,12 @@
             JobReply::Done
         }
         Err(StoreError::Full) => JobReply::StoreFull(STORE_FULL_RETRY_MS),
-        Err(fault) if fault.is_not_applied() => {
-            log::info!("{what} refused: {fault}");
+        Err(error) if error.is_not_applied() => {
+            log::info!("{what} refused: {error}");
             JobReply::Rejected
         }
-        Err(fault) => {
-            log::info!("{what}: {fault}; checking whether it was stored");
+        Err(error) => {
+            log::info!("{what}: {error}; checking whether it was stored");
             confirm_append(shared, part, is_stored).await
         }
     }
@@ -207,8 +207,8 @@
 /// Whether the job exists and the caller may see it.
 fn is_visible(shared: &Shared, caller: &Caller, part: usize, job: &str) -> bool {
     let control = shared.control.borrow();
-    let head = control.partitions[part].index.jobs.get(job).map(|job| &job.manifest);
-    head.is_some_and(|head| caller.may_see(&head.organisation))
+    let manifest = control.partitions[part].index.jobs.get(job).map(|job| &job.manifest);
+    manifest.is_some_and(|manifest| caller.may_see(&manifest.organisation))
 }
 
 /// The reply to a submission whose job id is already taken. The existence of
@@ -265,9 +265,9 @@
             }
             // The follower reloads the partition.
             Err(StoreError::Trimmed(_)) => return false,
-            Err(fault) => {
+            Err(error) => {
                 shared.record_store_result(false);
-                log::info!("failed to catch up with {JOBS}/{part}: {fault}");
+                log::info!("failed to catch up with {JOBS}/{part}: {error}");
                 return false;
             }
         }
@@ -353,8 +353,8 @@
     let wanted: Vec<TextRef> = outcomes.iter().filter_map(|o| o.text.clone()).collect();
     let mut texts = match texts::fetch(shared, &wanted).await {
         Ok(texts) => texts.into_iter(),
-        Err(fault) => {
-            log::info!("failed to read the texts of job {job} from position {after}: {fault}");
+        Err(error) => {
+            log::info!("failed to read the texts of job {job} from position {after}: {error}");
             return JobReply::Unavailable;
         }
     };
--- a/crates/hollywell/src/entry/outbox.rs
+++ b/crates/hollywell/src/entry/outbox.rs
@@ -94,10 +94,10 @@
         if appended.is_ok() {
             appended = append_results(&shared, part, &entries).await;
         }
-        if let Err(fault) = appended {
-            log::info!("failed to append {} results, retrying: {fault}", entries.len());
+        if let Err(error) = appended {
+            log::info!("failed to append {} results, retrying: {error}", entries.len());
             put_back(&shared.outbox[part], entries);
-            sleep(if fault == StoreError::Full { STORE_FULL_DELAY } else { RETRY_DELAY }).await;
+            sleep(if error == StoreError::Full { STORE_FULL_DELAY } else { RETRY_DELAY }).await;
         }
     }
 }
@@ -216,8 +216,8 @@
         }
         let saved = match append_partials(shared, part, &grown_texts).await {
             Ok(saved) => saved,
-            Err(fault) => {
-                log::info!("failed to store {} partial texts: {fault}", grown_texts.len());
+            Err(error) => {
+                log::info!("failed to store {} partial texts: {error}", grown_texts.len());
                 continue;
             }
         };
--- a/crates/hollywell/src/entry/resume.rs
+++ b/crates/hollywell/src/entry/resume.rs
@@ -22,14 +22,14 @@
     partitions: &mut [JobPartition],
     part: usize,
     job: &str,
-    head: &Manifest,
+    manifest: &Manifest,
 ) -> Vec<SampleSpec> {
-    discard_outdated(partitions, head);
+    discard_outdated(partitions, manifest);
     let mut items = Vec::new();
-    for (at, sample) in head.samples.iter().enumerate() {
+    for (at, sample) in manifest.samples.iter().enumerate() {
         let earlier = find_earlier(partitions, job, &sample.id);
         let carried = earlier.is_some();
-        let text = earlier.flatten().filter(|text| text.is_allowed(head.min_version));
+        let text = earlier.flatten().filter(|text| text.is_allowed(manifest.min_version));
         if let (Some(text), Some(job)) = (text, partitions[part].index.jobs.get_mut(job))
             && !job.done[at]
         {
@@ -54,11 +54,11 @@
     found
 }
 
-fn discard_outdated(partitions: &mut [JobPartition], head: &Manifest) {
+fn discard_outdated(partitions: &mut [JobPartition], manifest: &Manifest) {
     let jobs = partitions.iter_mut().flat_map(|partition| partition.index.jobs.values_mut());
     for job in jobs {
         let is_outdated =
-            job.manifest.model == head.model && job.manifest.step + MAX_STEPS < head.step;
+            job.manifest.model == manifest.model && job.manifest.step + MAX_STEPS < manifest.step;
         if is_outdated {
             job.partials.clear();
         }
--- a/crates/hollywell/src/entry/run.rs
+++ b/crates/hollywell/src/entry/run.rs
@@ -111,9 +111,9 @@
         Ok(texts) => texts.concat(),
         // A longer text has replaced it, or the store is unavailable. The run
         // then resumes from the text in memory, or starts from scratch.
-        Err(fault) => {
+        Err(error) => {
             log::info!(
-                "failed to read the partial text of {}/{}: {fault}",
+                "failed to read the partial text of {}/{}: {error}",
                 sample_id.job,
                 sample_id.index
             );
--- a/crates/hollywell/src/entry/samples.rs
+++ b/crates/hollywell/src/entry/samples.rs
@@ -30,21 +30,21 @@
     let part = shared.partition_of(&sample_id.job);
     let (bundle, at, text) = {
         let control = shared.control.borrow();
-        let head = &control.partitions[part].index.jobs.get(&sample_id.job)?.manifest;
-        let brief = head.samples.get(sample_id.index)?;
+        let manifest = &control.partitions[part].index.jobs.get(&sample_id.job)?.manifest;
+        let brief = manifest.samples.get(sample_id.index)?;
         let (bundle, at) = (brief.bundle as usize, brief.at as usize);
         let cached = control.bundles.get(&(sample_id.job.clone(), bundle));
         if let Some(bundle) = cached {
             return bundle.samples.get(at).cloned();
         }
-        (bundle, at, head.bundles.get(bundle)?.clone())
+        (bundle, at, manifest.bundles.get(bundle)?.clone())
     };
     let read = timeout(READ_TIMEOUT, texts::fetch(shared, std::slice::from_ref(&text))).await;
     let bytes = match read {
         Ok(Ok(mut texts)) => texts.pop()?,
-        Ok(Err(fault)) => {
+        Ok(Err(error)) => {
             log::info!(
-                "failed to read samples of job {} at offset {}: {fault}",
+                "failed to read samples of job {} at offset {}: {error}",
                 sample_id.job,
                 text.offset
             );
@@ -59,8 +59,8 @@
             return None;
         }
     };
-    let decoded = match Bundle::decode(bytes) {
-        Ok(decoded) => Rc::new(decoded),
+    let decoded_bundle = match Bundle::decode(bytes) {
+        Ok(decoded_bundle) => Rc::new(decoded_bundle),
         Err(error) => {
             log::error!(
                 "failed to decode samples of job {} at offset {}: {error}",
@@ -76,9 +76,9 @@
         control.partitions[part].index.jobs.get(&sample_id.job).is_some_and(|job| !job.ended)
             && !control.ending.is_pending(&sample_id.job);
     if open {
-        control.bundles.insert((sample_id.job.clone(), bundle), decoded.clone());
+        control.bundles.insert((sample_id.job.clone(), bundle), decoded_bundle.clone());
     }
-    decoded.samples.get(at).cloned()
+    decoded_bundle.samples.get(at).cloned()
 }
 
 /// Stores the samples of a submission. Returns a summary of each sample and the
@@ -141,7 +141,7 @@
                 log::info!("outcome of appending samples is unknown, retrying: {why}");
                 attempts += 1;
             }
-            Err(fault) => return Err(fault),
+            Err(error) => return Err(error),
         }
     };
     for ((key, value), offset) in records.into_iter().zip(first..) {
--- a/crates/hollywell/src/entry/serve.rs
+++ b/crates/hollywell/src/entry/serve.rs
@@ -94,16 +94,17 @@
     let link = Some(settings.link_mbps).filter(|mbps| *mbps > 0);
     let link = link.map(|mbps| format!("*{mbps}")).unwrap_or_default();
     let domain = domain.map(|number| format!("+{number}{link}")).unwrap_or_default();
-    let me = format!("{}@{}{domain}/{incarnation:x}", settings.name, settings.peer_listen);
-    let writer = format!("{:08x}", xxhash_rust::xxh3::xxh3_64(me.as_bytes()) & u64::from(u32::MAX));
+    let instance_id = format!("{}@{}{domain}/{incarnation:x}", settings.name, settings.peer_listen);
+    let writer_id =
+        format!("{:08x}", xxhash_rust::xxh3::xxh3_64(instance_id.as_bytes()) & u64::from(u32::MAX));
     let parts = JOB_PARTS.min(settings.store.parts).max(1) as usize;
     let control = Control {
         configuration: None,
         configuration_read_at: None,
         fleet: Fleet::default(),
         observations: Observations::default(),
-        dispatch: dispatch::State::new(&me).in_domain(&settings.domain),
-        ending: ending::State::new(&me),
+        dispatch: dispatch::State::new(&instance_id).in_domain(&settings.domain),
+        ending: ending::State::new(&instance_id),
         poison: poison::State::default(),
         poison_loaded: false,
         capacity: capacity::State::new(settings.store.room_bytes),
@@ -114,7 +115,7 @@
         bundles: std::collections::HashMap::new(),
         runs: std::collections::HashMap::new(),
         unopened_jobs: vec![],
-        roster: Roster::new(&me),
+        roster: Roster::new(&instance_id),
         group_size: GroupSize::default(),
         store_failing_since: None,
         fleet_loaded: false,
@@ -131,8 +132,8 @@
         store,
         pool,
         clock: Clock::start(),
-        instance_id: me,
-        writer_id: writer,
+        instance_id,
+        writer_id,
         keys_issued: Cell::new(0),
         control: RefCell::new(control),
         configuration_read: Notify::new(),
--- a/crates/hollywell/src/entry/texts.rs
+++ b/crates/hollywell/src/entry/texts.rs
@@ -88,7 +88,7 @@
             Ok(()) | Err(StoreError::Trimmed(_)) => {
                 return by_key(shared, part, wanted).await;
             }
-            Err(fault) => return Err(fault),
+            Err(error) => return Err(error),
         }
     }
     Ok(wanted.iter().map(|text| found[&text.offset].clone()).collect())
