--- a/crates/hollywell/src/entry/follow.rs
+++ b/crates/hollywell/src/entry/follow.rs
@@ -396,10 +396,10 @@
     match (shared.codec.command)(&record.key, record.value.as_deref()) {
         Ok(Some(Command::Configuration(plan))) => configuration::adopt(shared, plan, "the store"),
         Ok(Some(Command::Version { model, version })) => {
-            configuration::adopt_version(shared, &model, version)
+            configuration::adopt_version(shared, &model, version);
         }
         Ok(Some(Command::Evacuation { domain, is_on })) => {
-            configuration::set_evacuated(shared, &domain, is_on)
+            configuration::set_evacuated(shared, &domain, is_on);
         }
         Ok(None) => {}
         Err(why) => {
