--- a/crates/hollywell/src/core/mod.rs
+++ b/crates/hollywell/src/core/mod.rs
@@ -22,7 +22,7 @@
 //! | [`group`] | whether a reading of the group of instances shows all members |
 //! | [`poison`] | which requests end the targets that run them |
 //! | [`permit`] | which instance may do what only one may do at a time |
-//! | [`capacity`] | which appends the store's capacity is reserved for, and how far a log is trimmed |
+//! | [`capacity`] | what the store's capacity is reserved for, and how far a log is trimmed |
 //!
 //! Not part of this module: bodies, sockets and threads, which are in
 //! [`crate::traffic`], [`crate::peer`] and [`crate::control`].
--- a/crates/hollywell/src/entry/follow.rs
+++ b/crates/hollywell/src/entry/follow.rs
@@ -347,7 +347,7 @@
 }
 
 fn apply_announcement(shared: &Shared, control: &mut Control, now: Time, said: Announcement) {
-    let (id, born) = (said.id.clone(), said.born);
+    let (id, born) = (said.id.clone(), said.start_ms);
     match control.fleet.announce(now, said) {
         AnnounceOutcome::Accepted => {}
         AnnounceOutcome::Outdated => log::info!("entry of {id}, start {born:?}, is out of date"),
--- a/crates/hollywell/src/entry/hints.rs
+++ b/crates/hollywell/src/entry/hints.rs
@@ -72,7 +72,12 @@
                 match serde_json::from_slice(&value) {
                     Ok(Hint::Loaded(load)) => {
                         let fleet = &mut shared.control.borrow_mut().fleet;
-                        fleet.record_version(&load.target, load.born, &load.model, load.version);
+                        fleet.record_version(
+                            &load.target,
+                            load.start_ms,
+                            &load.model,
+                            load.version,
+                        );
                     }
                     Ok(Hint::Trimmed { part, texts, before }) => {
                         capacity::record_trim(shared, part, usize::from(texts), before);
--- a/crates/hollywell/src/entry/resume.rs
+++ b/crates/hollywell/src/entry/resume.rs
@@ -6,7 +6,7 @@
 use crate::{
     core::{
         batch::{Manifest, Partial},
-        dispatch::Item,
+        dispatch::SampleSpec,
     },
     entry::shared::JobPartition,
 };
@@ -22,7 +22,7 @@
     part: usize,
     job: &str,
     head: &Manifest,
-) -> Vec<Item> {
+) -> Vec<SampleSpec> {
     forget(partitions, head);
     let mut items = Vec::new();
     for (at, sample) in head.samples.iter().enumerate() {
@@ -35,7 +35,7 @@
             job.partials.entry(at).or_insert(text);
         }
         let (group, tokens) = (sample.group.clone(), sample.tokens);
-        items.push(Item { group, tokens, carried });
+        items.push(SampleSpec { group, tokens, carried });
     }
     items
 }
