--- a/crates/hollywell/src/settings.rs
+++ b/crates/hollywell/src/settings.rs
@@ -100,7 +100,8 @@
 pub struct Fault {
     /// The file.
     pub file: PathBuf,
-    /// The line of the key, or of its section if the key is missing; 0 if both are.
+    /// The line of the key, or of its section if the key is missing; 0 if the section is
+    /// missing too.
     pub line: usize,
     /// The section.
     pub section: String,
--- a/crates/hollywell/src/traffic/steps.rs
+++ b/crates/hollywell/src/traffic/steps.rs
@@ -36,7 +36,7 @@
     pub trainer: String,
     /// Number of the step, assigned by the trainer.
     pub step: u64,
-    /// How often the trainer has opened this step before.
+    /// Attempt number, which the trainer increments each time it opens this step.
     #[serde(default)]
     pub attempt: u32,
     /// Newest weight version that the trainer has published.
