--- a/crates/hollywell/src/entry/jobs.rs
+++ b/crates/hollywell/src/entry/jobs.rs
@@ -116,12 +116,12 @@
     }
     // Samples are stored first. Whatever happens to this append, the job does
     // not exist, and nothing runs, until its metadata is stored.
-    let (samples, bundles) = match samples::put(shared, job, decoded).await {
+    let (samples, bundles) = match samples::store_submission(shared, job, decoded).await {
         Ok(stored) => stored,
         Err(StoreError::Full) => return store_full(shared, job, STORE_FULL_RETRY_MS),
         Err(fault) => {
             if fault.is_not_applied() {
-                shared.orphans.refused(shared.now(), job);
+                shared.orphans.mark_refused(shared.now(), job);
             }
             log::info!("job {job} refused: its samples could not be stored: {fault}");
             return JobReply::Rejected;
@@ -152,7 +152,7 @@
         append_metadata(shared, part, (key, value), &what, |shared| is_known(shared, part, job))
             .await;
     if matches!(reply, JobReply::Rejected | JobReply::StoreFull(_)) {
-        shared.orphans.refused(shared.now(), job);
+        shared.orphans.mark_refused(shared.now(), job);
     }
     if reply == JobReply::Done {
         tokio::task::spawn_local(unstarted::watch(shared.clone(), part, job.to_owned()));
@@ -167,7 +167,7 @@
 fn store_full(shared: &Shared, job: &str, retry_after_ms: u64) -> JobReply {
     log::info!("job {job} refused: no room in the store, come back in {retry_after_ms} ms");
     shared.meters.jobs_without_space.inc();
-    shared.orphans.refused(shared.now(), job);
+    shared.orphans.mark_refused(shared.now(), job);
     JobReply::StoreFull(retry_after_ms)
 }
 
@@ -469,8 +469,10 @@
             shared.handle_event(&Event::Scored(sample_id));
             return;
         };
-        let plan = shared.control.borrow().configuration.clone();
-        let route = plan.as_ref().and_then(|plan| plan.route(&scorer.host, &scorer.path));
+        let configuration = shared.control.borrow().configuration.clone();
+        let route = configuration
+            .as_ref()
+            .and_then(|configuration| configuration.route(&scorer.host, &scorer.path));
         let Some(mut route) = route.cloned() else {
             sleep(SCORE_RETRY_DELAY).await;
             continue;
