--- a/crates/hollywell/src/entry/jobs.rs
+++ b/crates/hollywell/src/entry/jobs.rs
@@ -457,8 +457,8 @@
     let part = shared.partition_of(&sample_id.job);
     let (mut failures, mut attempts) = (0, 0);
     loop {
-        let wanted = shared.control.borrow().is_sample_open(part, &sample_id);
-        if !wanted {
+        let is_open = shared.control.borrow().is_sample_open(part, &sample_id);
+        if !is_open {
             return;
         }
         let Some(Sample { scorer, .. }) = samples::get(&shared, &sample_id).await else {
@@ -499,23 +499,23 @@
         attempts += 1;
         let mut delay = SCORE_RETRY_DELAY;
         match forward::run(&shared, &route, &request, attempts).await {
-            ForwardResult::Answered(answer) if answer.status.is_success() => {
-                let signature = answer.signature(&shared.codec.headers.signature);
+            ForwardResult::Answered(response) if response.status.is_success() => {
+                let signature = response.signature(&shared.codec.headers.signature);
                 if let Some(text) = shared.control.borrow_mut().partial_texts.get_mut(&sample_id) {
                     text.score = signature;
                 }
                 shared.handle_event(&Event::Scored(sample_id));
                 return;
             }
-            ForwardResult::Answered(answer) => {
-                if answer.status == http::StatusCode::INTERNAL_SERVER_ERROR {
+            ForwardResult::Answered(response) => {
+                if response.status == http::StatusCode::INTERNAL_SERVER_ERROR {
                     failures += 1;
                 }
                 log::debug!(
                     "scoring sample {}/{}: {}",
                     sample_id.job,
                     sample_id.index,
-                    answer.status
+                    response.status
                 );
             }
             ForwardResult::Refused(kind, retry_after_ms) => {
--- a/crates/hollywell/src/entry/outbox.rs
+++ b/crates/hollywell/src/entry/outbox.rs
@@ -56,13 +56,13 @@
     }
 }
 
-fn number(part: usize) -> u32 {
+fn partition_number(part: usize) -> u32 {
     u32::try_from(part).unwrap_or_default()
 }
 
-/// Queues a sample's result to be stored. `dead` marks a sample that was given
-/// up.
-pub fn deliver(shared: &Rc<Shared>, sample_id: &SampleId, dead: bool) {
+/// Queues a sample's result to be stored. `abandoned` marks a sample that
+/// was given up.
+pub fn deliver(shared: &Rc<Shared>, sample_id: &SampleId, abandoned: bool) {
     let part = shared.partition_of(&sample_id.job);
     {
         let mut control = shared.control.borrow_mut();
@@ -71,10 +71,10 @@
             return;
         };
         let id = job.manifest.samples[sample_id.index].id.clone();
-        let versions = if dead { vec![] } else { text.versions.into_iter().collect() };
-        let score = text.score.filter(|_| !dead);
-        let outcome = Outcome { id, abandoned: dead, text: None, versions, score };
-        let text = (!dead).then(|| Bytes::from(text.data));
+        let versions = if abandoned { vec![] } else { text.versions.into_iter().collect() };
+        let score = text.score.filter(|_| !abandoned);
+        let outcome = Outcome { id, abandoned, text: None, versions, score };
+        let text = (!abandoned).then(|| Bytes::from(text.data));
         let entry = Entry { sample_id: sample_id.clone(), outcome, text };
         shared.outbox[part].queue.borrow_mut().push_back(entry);
     }
@@ -128,7 +128,7 @@
     }
     let first = appended?.offset;
     for ((entry, (key, text)), offset) in waiting.iter_mut().zip(keyed).zip(first..) {
-        let at = TextRef::new(number(part), offset, key, &text);
+        let at = TextRef::new(partition_number(part), offset, key, &text);
         shared.text_cache.insert(&at, text);
         entry.outcome.text = Some(at);
         entry.text = None;
@@ -264,7 +264,7 @@
     let mut records = Vec::new();
     for ((grown, key), offset) in grown_texts.iter().zip(&keys).zip(first..) {
         let mut texts = grown.stored.clone();
-        texts.push(TextRef::new(number(part), offset, key.clone(), &grown.new_text));
+        texts.push(TextRef::new(partition_number(part), offset, key.clone(), &grown.new_text));
         let (last, versions) = (grown.last, grown.versions.clone());
         let partial = Partial { last, texts, versions };
         let (key, value) = batch::partial_record(&grown.sample_id.job, &grown.sample, &partial);
