--- a/crates/hollywell/src/entry/follow.rs
+++ b/crates/hollywell/src/entry/follow.rs
@@ -144,8 +144,8 @@
     /// not read the partition themselves: if their followers read the store
     /// instead, the sources would only wait longer for it.
     async fn ask_sources(&self, shared: &Rc<Shared>, part: &Partition) -> Option<Batch> {
-        let patience = if self.is_current { Duration::ZERO } else { NOT_READY_TIMEOUT };
-        let until = Instant::now() + patience;
+        let timeout = if self.is_current { Duration::ZERO } else { NOT_READY_TIMEOUT };
+        let until = Instant::now() + timeout;
         loop {
             match feed::fetch(shared, part, self.next.unwrap_or(0)).await {
                 feed::Fetched::Batch(batch) => return Some(batch),
--- a/crates/hollywell/src/entry/jobs.rs
+++ b/crates/hollywell/src/entry/jobs.rs
@@ -121,7 +121,7 @@
         Err(StoreError::Full) => return store_full(shared, job, STORE_FULL_RETRY_MS),
         Err(error) => {
             if error.is_not_applied() {
-                shared.orphans.refused(shared.now(), job);
+                shared.orphans.mark_refused(shared.now(), job);
             }
             log::info!("job {job} refused: its samples could not be stored: {error}");
             return JobReply::Rejected;
@@ -152,7 +152,7 @@
         append_metadata(shared, part, (key, value), &what, |shared| is_known(shared, part, job))
             .await;
     if matches!(reply, JobReply::Rejected | JobReply::StoreFull(_)) {
-        shared.orphans.refused(shared.now(), job);
+        shared.orphans.mark_refused(shared.now(), job);
     }
     if reply == JobReply::Done {
         tokio::task::spawn_local(unstarted::watch(shared.clone(), part, job.to_owned()));
@@ -167,7 +167,7 @@
 fn store_full(shared: &Shared, job: &str, retry_after_ms: u64) -> JobReply {
     log::info!("job {job} refused: no room in the store, come back in {retry_after_ms} ms");
     shared.meters.jobs_without_space.inc();
-    shared.orphans.refused(shared.now(), job);
+    shared.orphans.mark_refused(shared.now(), job);
     JobReply::StoreFull(retry_after_ms)
 }
 
--- a/crates/hollywell/src/entry/resume.rs
+++ b/crates/hollywell/src/entry/resume.rs
@@ -28,7 +28,7 @@
     let mut items = Vec::new();
     for (at, sample) in manifest.samples.iter().enumerate() {
         let earlier = find_earlier(partitions, job, &sample.id);
-        let carried = earlier.is_some();
+        let resumed = earlier.is_some();
         let text = earlier.flatten().filter(|text| text.is_allowed(manifest.min_version));
         if let (Some(text), Some(job)) = (text, partitions[part].index.jobs.get_mut(job))
             && !job.done[at]
@@ -36,7 +36,7 @@
             job.partials.entry(at).or_insert(text);
         }
         let (group, tokens) = (sample.group.clone(), sample.tokens);
-        items.push(SampleSpec { group, tokens, carried });
+        items.push(SampleSpec { group, tokens, resumed });
     }
     items
 }
--- a/crates/hollywell/src/entry/samples.rs
+++ b/crates/hollywell/src/entry/samples.rs
@@ -100,7 +100,7 @@
         bundles.iter().map(|_| batch::bundle_key(job, &shared.unique_key_part())).collect();
     // If the caller disconnects or the job is refused, no record references
     // them, and they have to be deleted.
-    shared.orphans.requests(shared.now(), part, job, keys.iter().cloned());
+    shared.orphans.add_requests(shared.now(), part, job, keys.iter().cloned());
     let part = u32::try_from(part).unwrap_or_default();
     let mut refs = Vec::new();
     let mut records: Vec<(Option<String>, Bytes)> = Vec::new();
--- a/crates/hollywell/src/entry/serve.rs
+++ b/crates/hollywell/src/entry/serve.rs
@@ -36,7 +36,7 @@
         relay::Relay,
         reload,
         settings::{Settings, Store},
-        shared::{Control, JOB_PARTS, JobPartition, Shared},
+        shared::{Control, JOB_PARTITIONS, JobPartition, Shared},
         store::Client,
         suspects,
         texts::TextCache,
@@ -97,7 +97,7 @@
     let instance_id = format!("{}@{}{domain}/{incarnation:x}", settings.name, settings.peer_listen);
     let writer_id =
         format!("{:08x}", xxhash_rust::xxh3::xxh3_64(instance_id.as_bytes()) & u64::from(u32::MAX));
-    let parts = JOB_PARTS.min(settings.store.parts).max(1) as usize;
+    let parts = JOB_PARTITIONS.min(settings.store.parts).max(1) as usize;
     let control = Control {
         configuration: None,
         configuration_read_at: None,
