--- a/crates/hollywell/tests/interleavings/checks.rs
+++ b/crates/hollywell/tests/interleavings/checks.rs
@@ -1,5 +1,5 @@
-//! What must always hold, checked while a schedule runs, and the counts that
-//! show what the schedules reached.
+//! Invariants checked while a schedule runs, and coverage counts over many
+//! schedules.
 
 use std::collections::BTreeMap;
 
@@ -11,10 +11,10 @@
 
 use crate::{
     trainer::Received,
-    world::{Sent, Shape, World},
+    world::{Scenario, Sent, World},
 };
 
-/// Faults that are drawn, and violations that are found.
+/// Injected faults and invariant violations.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Fault {
     Kill,
@@ -37,16 +37,16 @@
     FenceBroken,
 }
 
-/// One schedule's findings.
+/// Fault counts, replies and violations of one schedule.
 #[derive(Default)]
 pub(crate) struct Checks {
     runs: BTreeMap<String, Vec<u64>>,
     pub(crate) faults: BTreeMap<Fault, u64>,
     pub(crate) violations: Vec<(Fault, u64, String)>,
-    pub(crate) told: BTreeMap<&'static str, u64>,
-    revisions: Vec<u64>,
-    bases: Vec<(String, Option<u64>)>,
-    fences: BTreeMap<usize, u64>,
+    pub(crate) replies: BTreeMap<&'static str, u64>,
+    accepted_revisions: Vec<u64>,
+    accepted_bases: Vec<(String, Option<u64>)>,
+    max_fences: BTreeMap<usize, u64>,
     pub(crate) samples: u64,
     pub(crate) orders: u64,
 }
@@ -60,7 +60,7 @@
         self.violations.push((fault, now, text));
     }
 
-    /// A key ran; `sends` are all its sends so far.
+    /// Records that a target ran `key`; `sends` are all sends of the key so far.
     pub(crate) fn ran(&mut self, now: u64, key: &str, sends: &[Sent]) {
         let runs = self.runs.entry(key.to_owned()).or_default();
         runs.push(now);
@@ -68,28 +68,29 @@
             let text = format!("{key} ran at {runs:?}");
             self.violate(Fault::RanTwice, now, text);
         }
-        // Once a caller has read "not run", only a send made after the one
-        // that was refused may run.
-        let refused = |sent: &&Sent| matches!(sent.told, Some((_, Some(Outcome::NotRun))));
+        // After a caller has received "not run", only a later send of the key
+        // may run.
+        let refused = |sent: &&Sent| matches!(sent.answer, Some((_, Some(Outcome::NotRun))));
         let last_refused = sends.iter().filter(refused).map(|sent| sent.at).max();
         let last_sent = sends.iter().map(|sent| sent.at).max();
         if last_refused.is_some() && last_refused == last_sent {
-            let text = format!("{key} ran after its send at {last_sent:?} was told not run");
+            let text = format!("{key} ran after its send at {last_sent:?} was answered as not run");
             self.violate(Fault::RefusedButRan, now, text);
         }
     }
 
-    pub(crate) fn told(&mut self, now: u64, key: usize, decided: u64, reply: &Reply) {
+    pub(crate) fn replied(&mut self, now: u64, key: usize, decided_at: u64, reply: &Reply) {
         let name = match reply {
             Reply::Refused(kind) => kind.as_str(),
             _ => "answered",
         };
-        *self.told.entry(name).or_default() += 1;
+        *self.replies.entry(name).or_default() += 1;
         let not_run =
             matches!(reply, Reply::Refused(kind) if kind.answer().outcome == Outcome::NotRun);
         let runs = self.runs.entry(format!("k{key}")).or_default().clone();
-        if not_run && runs.iter().any(|run| *run < decided) {
-            let text = format!("k{key} told {name}, decided at {decided}, but it ran at {runs:?}");
+        if not_run && runs.iter().any(|run| *run < decided_at) {
+            let text =
+                format!("k{key} answered {name}, decided at {decided_at}, but it ran at {runs:?}");
             self.violate(Fault::RefusedButRan, now, text);
         }
         if matches!(reply, Reply::Stored(_) | Reply::Relayed) && runs.is_empty() {
@@ -97,55 +98,70 @@
         }
     }
 
-    /// An operator was told that an edit is accepted. No two may be that
-    /// were based on one revision.
+    /// Records that an operator's edit was accepted. At most one edit based on
+    /// a given revision may be accepted.
     pub(crate) fn accepted(&mut self, now: u64, trainer: String, base: Option<u64>, revision: u64) {
-        self.revisions.push(revision);
-        let place = (trainer, base);
-        if base.is_some() && self.bases.contains(&place) {
-            let text = format!("two edits of {place:?} accepted");
+        self.accepted_revisions.push(revision);
+        let trainer_base = (trainer, base);
+        if base.is_some() && self.accepted_bases.contains(&trainer_base) {
+            let text = format!("two edits based on {trainer_base:?} accepted");
             self.violate(Fault::Reverted, now, text);
         }
-        self.bases.push(place);
-        *self.told.entry("accepted").or_default() += 1;
+        self.accepted_bases.push(trainer_base);
+        *self.replies.entry("accepted").or_default() += 1;
     }
 
-    /// Accepted revisions that the log's state does not know.
-    pub(crate) fn lost_edits(&self, whole: &Snapshot) -> Vec<u64> {
-        let known: Vec<u64> = whole.table.history().map(|(offset, _)| *offset).collect();
-        self.revisions.iter().filter(|revision| !known.contains(revision)).copied().collect()
+    /// Accepted revisions that are missing from the log's state.
+    pub(crate) fn lost_edits(&self, log_state: &Snapshot) -> Vec<u64> {
+        let known: Vec<u64> = log_state.table.history().map(|(offset, _)| *offset).collect();
+        self.accepted_revisions
+            .iter()
+            .filter(|revision| !known.contains(revision))
+            .copied()
+            .collect()
     }
 
-    pub(crate) fn sample(&mut self, now: u64, received: Received, in_place: bool) {
+    pub(crate) fn sample(&mut self, now: u64, received: Received, slot_matches: bool) {
         match received {
             Received::Closed => {}
             Received::Good => self.samples += 1,
-            Received::Twice => self.violate(Fault::Twice, now, String::from("sample twice")),
-            Received::Stale => self.violate(Fault::Stale, now, String::from("sample too old")),
+            Received::Twice => {
+                self.violate(Fault::Twice, now, String::from("sample delivered twice"))
+            }
+            Received::Stale => self.violate(
+                Fault::Stale,
+                now,
+                String::from("sample staler than the trainer's bound"),
+            ),
         }
-        if !in_place {
-            self.violate(Fault::Twice, now, String::from("sample in another's place"));
+        if !slot_matches {
+            self.violate(
+                Fault::Twice,
+                now,
+                String::from("sample delivered under another sample's slot"),
+            );
         }
     }
 
     pub(crate) fn order(&mut self, now: u64, engine: usize, order: &Order, fenced: bool) {
         self.orders += 1;
-        let newest = self.fences.entry(engine).or_default();
-        // An order that a lease should have kept from being sent reaches the
-        // engine after a later holder's.
+        let newest = self.max_fences.entry(engine).or_default();
+        // A former lease holder's order reached the engine after one of the
+        // later holder, and the engine did not reject it.
         if order.fence < *newest && !fenced {
-            let text = format!("e{engine}: order of fence {} after {newest}", order.fence);
+            let text =
+                format!("e{engine}: order with fencing token {} after {newest}", order.fence);
             self.violations.push((Fault::FenceBroken, now, text));
         }
         *newest = order.fence.max(*newest);
     }
 }
 
-/// What many schedules reached.
+/// Counts summed over many schedules.
 #[derive(Default)]
 pub(crate) struct Totals {
     faults: BTreeMap<Fault, u64>,
-    told: BTreeMap<&'static str, u64>,
+    replies: BTreeMap<&'static str, u64>,
     violations: u64,
     samples: u64,
     orders: u64,
@@ -153,26 +169,26 @@
 }
 
 impl Totals {
-    pub(crate) fn take(&mut self, world: &World) {
+    pub(crate) fn add_schedule(&mut self, world: &World) {
         let checks = &world.checks;
         for (fault, count) in &checks.faults {
             *self.faults.entry(*fault).or_default() += count;
         }
-        for (name, count) in &checks.told {
-            *self.told.entry(name).or_default() += count;
+        for (name, count) in &checks.replies {
+            *self.replies.entry(name).or_default() += count;
         }
         self.violations += checks.violations.len() as u64;
         self.samples += checks.samples;
         self.orders += checks.orders;
-        self.steps += world.trainer.steps_whole;
+        self.steps += world.trainer.steps_completed;
     }
 
-    pub(crate) fn add(mut self, other: Totals) -> Totals {
+    pub(crate) fn merge(mut self, other: Totals) -> Totals {
         for (fault, count) in other.faults {
             *self.faults.entry(fault).or_default() += count;
         }
-        for (name, count) in other.told {
-            *self.told.entry(name).or_default() += count;
+        for (name, count) in other.replies {
+            *self.replies.entry(name).or_default() += count;
         }
         self.violations += other.violations;
         self.samples += other.samples;
@@ -181,14 +197,14 @@
         self
     }
 
-    pub(crate) fn json(&self, shape: Shape, schedules: u64) -> String {
+    pub(crate) fn json(&self, scenario: Scenario, schedules: u64) -> String {
         let faults = self.faults.iter().map(|(fault, count)| (format!("{fault:?}"), count));
         let line = serde_json::json!({
-            "proof": shape.test_name(),
+            "proof": scenario.test_name(),
             "schedules": schedules,
             "violations": self.violations,
             "faults": faults.collect::<BTreeMap<_, _>>(),
-            "told": self.told,
+            "told": self.replies,
             "samples": self.samples,
             "orders": self.orders,
             "steps": self.steps,
@@ -196,19 +212,35 @@
         line.to_string()
     }
 
-    /// A proof that reaches nothing proves nothing: the schedules must have
-    /// got as far as work that ended well.
-    pub(crate) fn assert_reached(&self, shape: Shape) {
-        let told = |name: &str| self.told.get(name).copied().unwrap_or_default();
-        match shape {
-            Shape::OneDomain | Shape::TwoDomains => {
-                assert!(told("answered") > 1_000, "too few answers: {:?}", self.told);
-                assert!(told("outcome_unknown") > 0, "no unknown outcome: {:?}", self.told);
+    /// Fails if the schedules completed too little work: without completed
+    /// work, the absence of violations shows nothing.
+    pub(crate) fn assert_coverage(&self, scenario: Scenario) {
+        let replies = |name: &str| self.replies.get(name).copied().unwrap_or_default();
+        match scenario {
+            Scenario::OneDomain | Scenario::TwoDomains => {
+                assert!(
+                    replies("answered") > 1_000,
+                    "expected more than 1000 answers, got {:?}",
+                    self.replies
+                );
+                assert!(
+                    replies("outcome_unknown") > 0,
+                    "expected an unknown outcome, got {:?}",
+                    self.replies
+                );
             }
-            Shape::Table => assert!(told("accepted") > 1_000, "too few edits: {:?}", self.told),
-            Shape::Rollouts => {
-                assert!(self.samples > 1_000, "too few samples: {}", self.samples);
-                assert!(self.orders > 100, "too few orders: {}", self.orders);
+            Scenario::Table => assert!(
+                replies("accepted") > 1_000,
+                "expected more than 1000 accepted edits, got {:?}",
+                self.replies
+            ),
+            Scenario::Rollouts => {
+                assert!(
+                    self.samples > 1_000,
+                    "expected more than 1000 samples, got {}",
+                    self.samples
+                );
+                assert!(self.orders > 100, "expected more than 100 orders, got {}", self.orders);
             }
         }
     }
--- a/crates/hollywell/tests/interleavings/node.rs
+++ b/crates/hollywell/tests/interleavings/node.rs
@@ -1,4 +1,4 @@
-//! One modelled instance: its reducer, its clock, and whether it runs.
+//! One simulated instance: its reducer, its clock and its process state.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,47 +7,47 @@
     prelude::{Config, Instance, Request, State, Time},
 };
 
-/// Who waits for the answer to a request at an instance.
+/// The recipient of the answer to a request at an instance.
 #[derive(Clone, Debug)]
 pub(crate) enum Waiter {
-    /// A caller's send, by its place in the history.
+    /// A caller's send, by its index in the history of sends.
     Send(usize),
-    /// Another instance, which forwarded its request.
+    /// Another instance, which forwarded the request.
     Forward { node: usize, run: u64, request: Request, key: String },
-    /// A trainer, whose answer is a stream.
+    /// A trainer, which receives a stream.
     Trainer,
-    /// An operator, with the row and the revision that the edit was based
-    /// on.
+    /// An operator, with the trainer whose row is edited and the revision that
+    /// the edit is based on.
     Operator { trainer: String, base: Option<u64> },
 }
 
-/// A modelled instance.
+/// A simulated instance.
 pub(crate) struct Node {
     pub(crate) name: String,
     pub(crate) state: State,
-    /// Counts this instance's runs over the whole schedule.
+    /// Number of this process start, unique over the schedule.
     pub(crate) run: u64,
     pub(crate) alive: bool,
     pub(crate) exiting: bool,
-    pub(crate) lingered: u32,
+    pub(crate) linger_count: u32,
     pub(crate) paused_until: u64,
     pub(crate) paused_from: u64,
-    /// Cut off from the platform until then.
+    /// End of the current partition from the platform.
     pub(crate) log_cut_until: u64,
     pub(crate) log_from: u64,
     pub(crate) waiters: BTreeMap<Request, Waiter>,
-    /// Forwarded requests that have arrived.
+    /// Forwarded requests that have arrived here.
     pub(crate) forwarded: BTreeSet<Request>,
     pub(crate) last_request: u64,
     pub(crate) folded: u64,
-    started: u64,
-    offset: u64,
-    drift: i64,
+    started_at: u64,
+    clock_offset: u64,
+    clock_drift: i64,
 }
 
 impl Node {
-    pub(crate) fn start(place: usize, domain: &str, domains: &[&str], run: u64, now: u64) -> Node {
-        let name = format!("n{place}");
+    pub(crate) fn start(index: usize, domain: &str, domains: &[&str], run: u64, now: u64) -> Node {
+        let name = format!("n{index}");
         let config = config(&name, domain, domains, run);
         Node {
             state: State::new(config),
@@ -55,7 +55,7 @@
             run,
             alive: true,
             exiting: false,
-            lingered: 0,
+            linger_count: 0,
             paused_until: 0,
             paused_from: 0,
             log_cut_until: 0,
@@ -64,21 +64,21 @@
             forwarded: BTreeSet::new(),
             last_request: 0,
             folded: 0,
-            started: now,
-            offset: 1_000 + run * 7_919,
-            // Clocks differ by up to a hundredth.
-            drift: (run * 7 % 21) as i64 - 10,
+            started_at: now,
+            clock_offset: 1_000 + run * 7_919,
+            // Clock rates differ by up to 1 %.
+            clock_drift: (run * 7 % 21) as i64 - 10,
         }
     }
 
-    /// The instance's own clock.
+    /// Reads the instance's local clock, which has its own offset and drift.
     pub(crate) fn clock(&self, now: u64) -> Time {
-        let elapsed = now.saturating_sub(self.started);
-        let skewed = elapsed as i64 + elapsed as i64 * self.drift / 1_000;
-        Time(self.offset + skewed as u64)
+        let elapsed = now.saturating_sub(self.started_at);
+        let skewed = elapsed as i64 + elapsed as i64 * self.clock_drift / 1_000;
+        Time(self.clock_offset + skewed as u64)
     }
 
-    /// True if the balancer sends requests here.
+    /// Returns true if the load balancer sends requests here.
     pub(crate) fn is_open(&self) -> bool {
         self.alive && !self.exiting
     }
@@ -87,15 +87,15 @@
         self.paused_until > now
     }
 
-    /// When a request that reaches the process now counts as arrived: while
-    /// the process is paused, at the pause's start.
+    /// Returns the arrival time of a request that reaches the process now. While
+    /// the process is paused, this is the start of the pause.
     pub(crate) fn arrival(&self, now: u64) -> Time {
         let paused = self.is_paused(now);
         self.clock(if paused { self.paused_from } else { now })
     }
 
-    /// Requests that have reached the process, if only its sockets, and
-    /// were not answered. A forwarded one on its way has not.
+    /// Returns unanswered requests that have reached the process or its socket
+    /// buffers. A forwarded request still in transit does not count.
     pub(crate) fn unanswered(&self) -> Vec<(Request, Waiter)> {
         let reached = |request: &Request, waiter: &Waiter| {
             !matches!(waiter, Waiter::Forward { .. }) || self.forwarded.contains(request)
@@ -112,7 +112,8 @@
     }
 }
 
-/// Short times, so that a schedule of some seconds sees leases run out.
+/// Settings with short time-outs, so that leases expire within a schedule of
+/// a few seconds.
 fn config(name: &str, domain: &str, domains: &[&str], run: u64) -> Config {
     let mut config = Config::new(Instance::new(name, run * 1_000), domain, domains);
     config.ownership =
@@ -130,5 +131,5 @@
     config
 }
 
-/// How long claims are kept. Callers send a key again for less.
+/// Retention of claims. Callers stop resending a key before it ends.
 pub(crate) const HORIZON_MS: u64 = 30_000;
--- a/crates/hollywell/tests/interleavings/trainer.rs
+++ b/crates/hollywell/tests/interleavings/trainer.rs
@@ -1,5 +1,5 @@
-//! The modelled trainer: one step at a time, opened again elsewhere after a
-//! kill; its own word is what it has.
+//! The simulated trainer. It has one step open at a time, reopens it at another
+//! instance after a kill, and reports the samples that it already has.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -16,16 +16,17 @@
 const GROUPS: u32 = 3;
 const SAMPLES: u32 = 3;
 
-/// What a trainer makes of a delivered sample.
+/// Verdict of the trainer on a delivered sample.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Received {
-    /// It belongs to a stream that the trainer has closed.
+    /// The sample belongs to a stream that the trainer has closed.
     Closed,
-    /// New and within the bound.
+    /// New and within the staleness bound.
     Good,
-    /// The trainer had it, and had said so.
+    /// The trainer already has the sample and reported so when it opened the
+    /// step.
     Twice,
-    /// Older than the bound in force where it was delivered.
+    /// Staler than the bound in force at the delivering instance.
     Stale,
 }
 
@@ -34,12 +35,12 @@
     version: u64,
     step: u64,
     attempt: u32,
-    opened_version: u64,
+    version_at_open: u64,
     open: Option<(usize, u64, Request)>,
-    have: BTreeSet<Slot>,
-    produced: BTreeMap<(usize, u64, Dispatch), Vec<u64>>,
+    received: BTreeSet<Slot>,
+    generated: BTreeMap<(usize, u64, Dispatch), Vec<u64>>,
     has_row: bool,
-    pub(crate) steps_whole: u64,
+    pub(crate) steps_completed: u64,
 }
 
 impl Trainer {
@@ -47,7 +48,7 @@
         self.version += 1;
     }
 
-    pub(crate) fn newest(&self) -> u64 {
+    pub(crate) fn newest_version(&self) -> u64 {
         self.version
     }
 
@@ -86,17 +87,17 @@
         request: Request,
         timeout_ms: u64,
     ) -> Opening {
-        if self.have.len() as u32 == GROUPS * SAMPLES {
-            self.steps_whole += 1;
+        if self.received.len() as u32 == GROUPS * SAMPLES {
+            self.steps_completed += 1;
             self.step += 1;
             self.attempt = 0;
-            self.have.clear();
+            self.received.clear();
         }
         self.attempt += 1;
         self.open = Some((node, run, request));
-        self.opened_version = self.version;
+        self.version_at_open = self.version;
         let missing = |group: u32| {
-            let has = |index: &u32| self.have.contains(&Slot { group, index: *index });
+            let has = |index: &u32| self.received.contains(&Slot { group, index: *index });
             (0..SAMPLES).filter(|index| !has(index)).collect()
         };
         Opening {
@@ -109,8 +110,13 @@
         }
     }
 
-    pub(crate) fn produced(&mut self, dispatch: Dispatch, by: (usize, u64), versions: Vec<u64>) {
-        self.produced.insert((by.0, by.1, dispatch), versions);
+    pub(crate) fn record_generated(
+        &mut self,
+        dispatch: Dispatch,
+        by: (usize, u64),
+        versions: Vec<u64>,
+    ) {
+        self.generated.insert((by.0, by.1, dispatch), versions);
     }
 
     pub(crate) fn receive(
@@ -124,14 +130,14 @@
             return Received::Closed;
         }
         let staleness = row.map_or(0, |row| row.staleness);
-        let oldest = self.opened_version.saturating_sub(staleness);
-        if !self.have.insert(slot) {
+        let oldest = self.version_at_open.saturating_sub(staleness);
+        if !self.received.insert(slot) {
             return Received::Twice;
         }
         if versions.iter().any(|version| *version < oldest) {
             return Received::Stale;
         }
-        if self.have.len() as u32 == GROUPS * SAMPLES {
+        if self.received.len() as u32 == GROUPS * SAMPLES {
             self.open = None;
         }
         Received::Good
@@ -145,9 +151,10 @@
         dispatch: Dispatch,
         by: (usize, u64),
     ) {
-        let produced = self.produced.get(&(by.0, by.1, dispatch));
-        if versions.is_empty() || produced.map(Vec::as_slice) != Some(versions) {
-            let text = format!("delivered as {versions:?}, produced by {produced:?}");
+        let generated = self.generated.get(&(by.0, by.1, dispatch));
+        if versions.is_empty() || generated.map(Vec::as_slice) != Some(versions) {
+            let text =
+                format!("delivered with versions {versions:?}, generated with {generated:?}");
             checks.violate(Fault::Unversioned, now, text);
         }
     }
--- a/crates/hollywell/tests/interleavings/world/calls.rs
+++ b/crates/hollywell/tests/interleavings/world/calls.rs
@@ -1,4 +1,4 @@
-//! Callers, entries, and the targets that calls run at.
+//! Simulated callers, forwarding between instances, and targets of calls.
 
 use arbtest::arbitrary::{Result, Unstructured};
 use hollywell::{
@@ -11,18 +11,18 @@
     prelude::{Call, Dispatch, Event, Reply, Request, Time},
 };
 
-use super::{Happening, MOST_SENDS, RESEND_MS, Sent, World};
+use super::{Action, MAX_SENDS, RESEND_MS, Sent, World};
 use crate::node::Waiter;
 
 impl World {
     pub(super) fn send(&mut self, key: usize, u: &mut Unstructured<'_>) -> Result<()> {
         let count = self.sends.iter().filter(|sent| sent.key == key).count();
         let node = u.int_in_range(0..=self.nodes.len() - 1)?;
-        if count >= MOST_SENDS || !self.nodes[node].is_open() {
+        if count >= MAX_SENDS || !self.nodes[node].is_open() {
             return Ok(());
         }
         let send = self.sends.len();
-        self.sends.push(Sent { key, at: self.now, decided: 0, told: None });
+        self.sends.push(Sent { key, at: self.now, decided_at: 0, answer: None });
         let arrived = self.nodes[node].arrival(self.now);
         let request = self.nodes[node].new_request(Waiter::Send(send));
         let call = Call {
@@ -33,12 +33,12 @@
             digest: 1,
             timeout_ms: 1_500,
         };
-        self.note(|| format!("send k{key} (send {send}) to n{node}"));
+        self.trace(|| format!("send k{key} (send {send}) to n{node}"));
         let run = self.nodes[node].run;
         let event = Event::Call { request, arrived, call };
-        self.after(0, Happening::Event { node, run, event });
+        self.after(0, Action::Event { node, run, event });
         if self.chance(u, 3)? {
-            self.after(RESEND_MS + 50, Happening::Send { key });
+            self.after(RESEND_MS + 50, Action::Send { key });
         }
         Ok(())
     }
@@ -56,25 +56,26 @@
         };
         match waiter {
             Waiter::Send(send) => {
-                if self.sends[send].decided == 0 {
-                    self.sends[send].decided = self.now;
+                if self.sends[send].decided_at == 0 {
+                    self.sends[send].decided_at = self.now;
                 }
                 let reply = reply.clone();
-                self.after(delay, Happening::Told { send, reply });
+                self.after(delay, Action::ReplyReceived { send, reply });
             }
             Waiter::Forward { node: origin, run, request, .. } => {
                 let refused = match reply {
                     Reply::Refused(kind) => Some(*kind),
                     _ => None,
                 };
-                let lost = self.is_cut(node, origin);
-                let waits = self.nodes[origin].waiters.get(&request);
-                if let (Some(Waiter::Send(send)), true) = (waits, self.runs_on(origin, run)) {
-                    self.sends[*send].decided = self.now;
+                let lost = self.is_partitioned(node, origin);
+                let origin_waiter = self.nodes[origin].waiters.get(&request);
+                if let (Some(Waiter::Send(send)), true) = (origin_waiter, self.runs_on(origin, run))
+                {
+                    self.sends[*send].decided_at = self.now;
                 }
                 let result = (!lost).then_some(ForwardResult { refused, reading });
                 let event = Event::ForwardEnded { request, result };
-                self.after(delay, Happening::Event { node: origin, run, event });
+                self.after(delay, Action::Event { node: origin, run, event });
             }
             Waiter::Operator { trainer, base } => {
                 if let Reply::Edited(Outcome::Accepted { revision }) = reply {
@@ -85,7 +86,7 @@
         }
     }
 
-    pub(super) fn told(
+    pub(super) fn reply_received(
         &mut self,
         send: usize,
         reply: &Reply,
@@ -96,13 +97,13 @@
             _ => None,
         };
         let key = self.sends[send].key;
-        self.sends[send].told = Some((self.now, outcome));
-        self.note(|| format!("told k{key} (send {send}) {reply:?}"));
-        let decided = self.sends[send].decided;
-        self.checks.told(self.now, key, decided, reply);
+        self.sends[send].answer = Some((self.now, outcome));
+        self.trace(|| format!("caller of k{key} (send {send}) received {reply:?}"));
+        let decided_at = self.sends[send].decided_at;
+        self.checks.replied(self.now, key, decided_at, reply);
         let refused = matches!(reply, Reply::Refused(kind) if *kind != Kind::KeyMismatch);
         if refused && self.chance(u, 2)? {
-            self.after(RESEND_MS, Happening::Send { key });
+            self.after(RESEND_MS, Action::Send { key });
         }
         Ok(())
     }
@@ -117,24 +118,24 @@
         u: &mut Unstructured<'_>,
     ) -> Result<()> {
         let delay = self.delay(u)?;
-        let place = self.place_of(to);
-        let reached = place.filter(|to| self.nodes[*to].alive && !self.is_cut(node, *to));
+        let index = self.node_index(to);
+        let reached = index.filter(|to| self.nodes[*to].alive && !self.is_partitioned(node, *to));
         let lost = self.chance(u, 30)?;
         let Some(to) = reached.filter(|_| !lost) else {
             let event = Event::ForwardEnded { request, result: None };
-            self.after(delay, Happening::Event { node, run, event });
+            self.after(delay, Action::Event { node, run, event });
             return Ok(());
         };
         let key = forward.call.key.clone().unwrap_or_default();
         let waiter = Waiter::Forward { node, run, request, key };
-        let number = self.nodes[to].new_request(waiter);
+        let forwarded_request = self.nodes[to].new_request(waiter);
         let to_run = self.nodes[to].run;
-        let event = Event::Forwarded { request: number, forward };
-        self.after(delay, Happening::Event { node: to, run: to_run, event });
+        let event = Event::Forwarded { request: forwarded_request, forward };
+        self.after(delay, Action::Event { node: to, run: to_run, event });
         Ok(())
     }
 
-    pub(super) fn check_and_send(
+    pub(super) fn dispatch_before_deadline(
         &mut self,
         node: usize,
         run: u64,
@@ -146,14 +147,14 @@
         let key = self.key_of(node, request);
         if self.nodes[node].clock(self.now) >= before {
             let event = Event::TargetEnded { dispatch, end: End::NotSent, leaving: false };
-            self.after(1, Happening::Event { node, run, event });
+            self.after(1, Action::Event { node, run, event });
             return Ok(());
         }
-        // Between the check and the target anything may take long: a pause
-        // of the process, a full socket, the network.
+        // The delay between the deadline check and the arrival at the target is
+        // unbounded: the process may be paused, the socket full, the network slow.
         let delay = self.delay(u)?;
         if let Some(key) = key {
-            self.after(delay, Happening::Arrive { node, run, dispatch, key });
+            self.after(delay, Action::Arrive { node, run, dispatch, key });
         }
         Ok(())
     }
@@ -167,7 +168,7 @@
         }
     }
 
-    pub(super) fn arrive(
+    pub(super) fn arrive_at_target(
         &mut self,
         node: usize,
         run: u64,
@@ -182,13 +183,13 @@
         } else {
             let key_name = |sent: &&Sent| format!("k{}", sent.key) == key;
             let sends: Vec<Sent> = self.sends.iter().filter(key_name).cloned().collect();
-            self.note(|| format!("RUN {key} by n{node}"));
+            self.trace(|| format!("RUN {key} by n{node}"));
             self.checks.ran(self.now, key, &sends);
             if self.chance(u, 10)? { End::Broken } else { End::Answered }
         };
         let delay = self.delay(u)?;
         let event = Event::TargetEnded { dispatch, end, leaving: false };
-        self.after(delay, Happening::Event { node, run, event });
+        self.after(delay, Action::Event { node, run, event });
         Ok(())
     }
 }
--- a/crates/hollywell/tests/interleavings/world/mod.rs
+++ b/crates/hollywell/tests/interleavings/world/mod.rs
@@ -1,5 +1,5 @@
-//! The modelled world: a queue of happenings ordered by time, into which
-//! faults are drawn.
+//! The simulation: a queue of actions ordered by virtual time, with randomly
+//! injected faults.
 
 mod calls;
 mod faults;
@@ -16,7 +16,7 @@
         rollout::Slot,
         stream::Record,
     },
-    error::Outcome as Ran,
+    error::Outcome,
     prelude::{Dispatch, Effect, Event, Reply, Request, Time},
 };
 
@@ -27,54 +27,56 @@
     trainer::Trainer,
 };
 
-/// Virtual time of the drawn part of a schedule, in milliseconds.
-const DRAWN_MS: u64 = 14_000;
-/// Virtual time in which everything must come right afterwards.
-const CALM_MS: u64 = 9_000;
+/// Virtual time of the phase with random work and faults, in milliseconds.
+const FAULT_PHASE_MS: u64 = 14_000;
+/// Virtual time without faults within which the system must converge
+/// afterwards, in milliseconds.
+const CONVERGENCE_MS: u64 = 9_000;
 const TICK_MS: u64 = 100;
-/// How long a process goes on accepting after its reducer has ended.
+/// Time for which a process still accepts requests after its reducer has
+/// ended.
 const LINGER_MS: u64 = 300;
-const MOST_LINGERS: u32 = 10;
+const MAX_LINGERS: u32 = 10;
 const POLL_MS: u64 = 150;
-/// Time in which every change must be in force everywhere.
+/// Time within which every change must be in force at all instances.
 const IN_FORCE_MS: u64 = 4_000;
-/// Pause after which a caller sends a key again. Longer than any way from a
-/// caller to a process, so that an earlier send has arrived.
+/// Delay before a caller resends a key. Longer than any delay from a caller to
+/// a process, so that the earlier send has arrived.
 const RESEND_MS: u64 = 250;
-const MOST_SENDS: usize = 6;
+const MAX_SENDS: usize = 6;
 
-/// What a schedule is about.
+/// The setup that a schedule exercises.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Shape {
+pub(crate) enum Scenario {
     OneDomain,
     TwoDomains,
     Table,
     Rollouts,
 }
 
-impl Shape {
+impl Scenario {
     pub(crate) fn test_name(self) -> &'static str {
         match self {
-            Shape::OneDomain => "keyed_calls_run_at_most_once_in_one_domain",
-            Shape::TwoDomains => "keyed_calls_run_at_most_once_across_domains",
-            Shape::Table => "the_table_never_reverts_and_comes_into_force",
-            Shape::Rollouts => "samples_come_exactly_once_with_their_versions",
+            Scenario::OneDomain => "keyed_calls_run_at_most_once_in_one_domain",
+            Scenario::TwoDomains => "keyed_calls_run_at_most_once_across_domains",
+            Scenario::Table => "the_table_never_reverts_and_comes_into_force",
+            Scenario::Rollouts => "samples_come_exactly_once_with_their_versions",
         }
     }
 
     fn domains(self) -> &'static [&'static str] {
         match self {
-            Shape::OneDomain => &["d0", "d0", "d0"],
-            Shape::TwoDomains => &["d0", "d0", "d1", "d1"],
-            Shape::Table => &["d0", "d1", "d1"],
-            Shape::Rollouts => &["d0", "d0"],
+            Scenario::OneDomain => &["d0", "d0", "d0"],
+            Scenario::TwoDomains => &["d0", "d0", "d1", "d1"],
+            Scenario::Table => &["d0", "d1", "d1"],
+            Scenario::Rollouts => &["d0", "d0"],
         }
     }
 }
 
-/// Something that is to happen at a time.
+/// A scheduled action of the simulation.
 #[derive(Clone, Debug)]
-enum Happening {
+enum Action {
     Tick {
         node: usize,
         run: u64,
@@ -88,8 +90,9 @@
         run: u64,
         event: Event,
     },
-    /// A request's bytes are about to be sent to a target.
-    Check {
+    /// An instance checks the deadline of a request just before sending it to a
+    /// target.
+    CheckDeadline {
         node: usize,
         run: u64,
         request: Request,
@@ -114,7 +117,7 @@
     Send {
         key: usize,
     },
-    Told {
+    ReplyReceived {
         send: usize,
         reply: Reply,
     },
@@ -151,13 +154,14 @@
     },
 }
 
-/// A modelled engine.
+/// A simulated engine.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Engine {
     pub(crate) version: u64,
     pub(crate) fence: u64,
-    pub(crate) enforces: bool,
-    /// Versions that it served, with the time from which on.
+    /// Whether the engine rejects orders with an outdated fencing token.
+    pub(crate) checks_fence: bool,
+    /// The versions served, each with its start time.
     pub(crate) served: Vec<(u64, u64)>,
 }
 
@@ -166,22 +170,23 @@
 pub(crate) struct Sent {
     pub(crate) key: usize,
     pub(crate) at: u64,
-    /// When its refusal or answer was decided, wherever that was.
-    pub(crate) decided: u64,
-    pub(crate) told: Option<(u64, Option<Ran>)>,
+    /// When some instance decided on its refusal or answer.
+    pub(crate) decided_at: u64,
+    /// When the caller received an answer, and the outcome if it was a refusal.
+    pub(crate) answer: Option<(u64, Option<Outcome>)>,
 }
 
-/// The modelled world.
+/// State of the simulation.
 pub(crate) struct World {
-    shape: Shape,
+    scenario: Scenario,
     print: bool,
     pub(crate) now: u64,
-    queue: BTreeMap<(u64, u64), Happening>,
+    queue: BTreeMap<(u64, u64), Action>,
     queued: u64,
     pub(crate) nodes: Vec<Node>,
-    runs: u64,
+    starts: u64,
     pub(crate) log: Log,
-    cuts: BTreeMap<(usize, usize), u64>,
+    partitions: BTreeMap<(usize, usize), u64>,
     pub(crate) sends: Vec<Sent>,
     keys: usize,
     pub(crate) engines: Vec<Engine>,
@@ -189,22 +194,23 @@
     samples: BTreeMap<(usize, u64, Dispatch), (Request, Slot)>,
     edits: u64,
     pub(crate) checks: Checks,
-    calm: bool,
+    faults_ended: bool,
 }
 
 impl World {
-    pub(crate) fn new(shape: Shape, print: bool, u: &mut Unstructured<'_>) -> Result<World> {
-        let retain = if shape == Shape::Table { u.int_in_range(40..=120)? } else { 1_000 };
+    pub(crate) fn new(scenario: Scenario, print: bool, u: &mut Unstructured<'_>) -> Result<World> {
+        let max_records =
+            if scenario == Scenario::Table { u.int_in_range(40..=120)? } else { 1_000 };
         let mut world = World {
-            shape,
+            scenario,
             print,
             now: 0,
             queue: BTreeMap::new(),
             queued: 0,
             nodes: vec![],
-            runs: 0,
-            log: Log::new(retain),
-            cuts: BTreeMap::new(),
+            starts: 0,
+            log: Log::new(max_records),
+            partitions: BTreeMap::new(),
             sends: vec![],
             keys: 0,
             engines: vec![],
@@ -212,61 +218,61 @@
             samples: BTreeMap::new(),
             edits: 0,
             checks: Checks::default(),
-            calm: false,
+            faults_ended: false,
         };
-        if shape == Shape::Rollouts {
+        if scenario == Scenario::Rollouts {
             world.engines = vec![
-                Engine { enforces: true, ..Engine::default() },
-                Engine { enforces: false, ..Engine::default() },
+                Engine { checks_fence: true, ..Engine::default() },
+                Engine { checks_fence: false, ..Engine::default() },
             ];
-            world.at(700, Happening::EditRow { trainer: 0 });
-            world.at(1_500, Happening::OpenStep);
+            world.at(700, Action::EditRow { trainer: 0 });
+            world.at(1_500, Action::OpenStep);
         }
-        for place in 0..shape.domains().len() {
-            world.start(place);
+        for index in 0..scenario.domains().len() {
+            world.start(index);
         }
         Ok(world)
     }
 
-    fn note(&self, text: impl FnOnce() -> String) {
+    fn trace(&self, text: impl FnOnce() -> String) {
         if self.print {
             println!("{:>6} {}", self.now, text());
         }
     }
 
-    fn at(&mut self, due: u64, happening: Happening) {
+    fn at(&mut self, due: u64, action: Action) {
         self.queued += 1;
-        self.queue.insert((due.max(self.now), self.queued), happening);
+        self.queue.insert((due.max(self.now), self.queued), action);
     }
 
-    fn after(&mut self, ms: u64, happening: Happening) {
-        self.at(self.now + ms, happening);
+    fn after(&mut self, ms: u64, action: Action) {
+        self.at(self.now + ms, action);
     }
 
     fn domains(&self) -> Vec<&'static str> {
-        let mut domains = self.shape.domains().to_vec();
+        let mut domains = self.scenario.domains().to_vec();
         domains.dedup();
         domains
     }
 
-    fn start(&mut self, place: usize) {
-        self.runs += 1;
+    fn start(&mut self, index: usize) {
+        self.starts += 1;
         let domains = self.domains();
-        let domain = self.shape.domains()[place];
-        let node = Node::start(place, domain, &domains, self.runs, self.now);
-        match self.nodes.get_mut(place) {
+        let domain = self.scenario.domains()[index];
+        let node = Node::start(index, domain, &domains, self.starts, self.now);
+        match self.nodes.get_mut(index) {
             Some(old) => *old = node,
             None => self.nodes.push(node),
         }
-        let run = self.runs;
+        let run = self.starts;
         let event = Event::Listed(self.list());
-        self.after(0, Happening::Event { node: place, run, event });
-        self.after(1, Happening::Tick { node: place, run });
-        self.after(2, Happening::Poll { node: place, run });
+        self.after(0, Action::Event { node: index, run, event });
+        self.after(1, Action::Tick { node: index, run });
+        self.after(2, Action::Poll { node: index, run });
     }
 
     fn list(&self) -> Vec<Listed> {
-        let domains = self.shape.domains();
+        let domains = self.scenario.domains();
         let listed = |name: String, kind, pool: &str, domain: &str| Listed {
             address: name.clone(),
             name,
@@ -278,64 +284,66 @@
         let instances = domains
             .iter()
             .enumerate()
-            .map(|(place, domain)| listed(format!("n{place}"), MemberKind::Instance, "", domain));
+            .map(|(index, domain)| listed(format!("n{index}"), MemberKind::Instance, "", domain));
         let services =
-            (0..2).map(|place| listed(format!("s{place}"), MemberKind::Service, "app", "d0"));
+            (0..2).map(|index| listed(format!("s{index}"), MemberKind::Service, "app", "d0"));
         let engines = (0..self.engines.len())
-            .map(|place| listed(format!("e{place}"), MemberKind::Engine, "gen", "d0"));
+            .map(|index| listed(format!("e{index}"), MemberKind::Engine, "gen", "d0"));
         instances.chain(services).chain(engines).collect()
     }
 
-    /// Runs the drawn part: faults fall between happenings as drawn.
+    /// Runs the phase in which random work and faults are injected between
+    /// actions.
     pub(crate) fn run(&mut self, u: &mut Unstructured<'_>) -> Result<()> {
-        while self.now < DRAWN_MS && !u.is_empty() {
+        while self.now < FAULT_PHASE_MS && !u.is_empty() {
             if u.ratio(1, 120)? {
-                self.draw_fault(u)?;
+                self.inject_fault(u)?;
             }
             if u.ratio(1, 25)? {
-                self.draw_work(u)?;
+                self.inject_work(u)?;
             }
             self.next(u)?;
         }
         Ok(())
     }
 
-    /// Ends all faults and lets everything come right.
+    /// Ends all faults, lets the system converge, and checks the final state.
     pub(crate) fn settle(&mut self) {
-        self.calm = true;
-        self.cuts.clear();
+        self.faults_ended = true;
+        self.partitions.clear();
         self.log.down_until = 0;
-        let ends = self.nodes.iter().map(|node| node.paused_until).max().unwrap_or_default();
+        let pauses_end = self.nodes.iter().map(|node| node.paused_until).max().unwrap_or_default();
         for node in &mut self.nodes {
             node.log_cut_until = 0;
         }
-        if self.shape == Shape::Table {
-            // One instance stays cut off from the platform: its peers have
-            // to bring the table to it.
+        if self.scenario == Scenario::Table {
+            // One instance stays partitioned from the platform and has to get
+            // the table from its peers.
             self.nodes[2].log_cut_until = u64::MAX;
         }
-        let until = self.now.max(ends) + CALM_MS;
-        let mut nothing = Unstructured::new(&[]);
+        let until = self.now.max(pauses_end) + CONVERGENCE_MS;
+        let mut no_randomness = Unstructured::new(&[]);
         while self.now < until {
-            if self.next(&mut nothing).is_err() {
+            if self.next(&mut no_randomness).is_err() {
                 break;
             }
         }
-        self.check_settled();
+        self.check_converged();
     }
 
     fn next(&mut self, u: &mut Unstructured<'_>) -> Result<()> {
-        let Some(((due, _), happening)) = self.queue.pop_first() else {
+        let Some(((due, _), action)) = self.queue.pop_first() else {
             self.now += 1;
             return Ok(());
         };
         self.now = due.max(self.now);
-        self.happen(happening, u)
+        self.perform(action, u)
     }
 
-    /// How long a message takes; sometimes long.
+    /// Draws a message delay: 1 to 8 ms, now and then 50 to 2,500 ms while
+    /// faults are injected.
     fn delay(&self, u: &mut Unstructured<'_>) -> Result<u64> {
-        if !self.calm && u.ratio(1, 40)? {
+        if !self.faults_ended && u.ratio(1, 40)? {
             u.int_in_range(50..=2_500)
         } else {
             u.int_in_range(1..=8)
@@ -343,91 +351,91 @@
     }
 
     fn chance(&self, u: &mut Unstructured<'_>, one_in: u32) -> Result<bool> {
-        if self.calm { Ok(false) } else { u.ratio(1, one_in) }
+        if self.faults_ended { Ok(false) } else { u.ratio(1, one_in) }
     }
 
     fn runs_on(&self, node: usize, run: u64) -> bool {
         self.nodes[node].alive && self.nodes[node].run == run
     }
 
-    fn is_cut(&self, a: usize, b: usize) -> bool {
-        self.cuts.get(&(a.min(b), a.max(b))).is_some_and(|until| *until > self.now)
+    fn is_partitioned(&self, a: usize, b: usize) -> bool {
+        self.partitions.get(&(a.min(b), a.max(b))).is_some_and(|until| *until > self.now)
     }
 
-    /// If a happening needs a process that is paused, puts it off until the
-    /// process goes on.
-    fn put_off(&mut self, happening: &Happening) -> bool {
-        let (node, run) = match happening {
-            Happening::Tick { node, run }
-            | Happening::Poll { node, run }
-            | Happening::Event { node, run, .. }
-            | Happening::Check { node, run, .. }
-            | Happening::Forward { node, run, .. }
-            | Happening::Exited { node, run }
-            | Happening::CheckOrder { node, run, .. } => (*node, *run),
+    /// Postpones an action whose process is paused until the process resumes.
+    /// Returns true if it did.
+    fn postpone_if_paused(&mut self, action: &Action) -> bool {
+        let (node, run) = match action {
+            Action::Tick { node, run }
+            | Action::Poll { node, run }
+            | Action::Event { node, run, .. }
+            | Action::CheckDeadline { node, run, .. }
+            | Action::Forward { node, run, .. }
+            | Action::Exited { node, run }
+            | Action::CheckOrder { node, run, .. } => (*node, *run),
             _ => return false,
         };
         let paused = self.runs_on(node, run) && self.nodes[node].is_paused(self.now);
         if paused {
-            self.at(self.nodes[node].paused_until, happening.clone());
+            self.at(self.nodes[node].paused_until, action.clone());
         }
         paused
     }
 
-    fn happen(&mut self, happening: Happening, u: &mut Unstructured<'_>) -> Result<()> {
-        if self.put_off(&happening) {
+    fn perform(&mut self, action: Action, u: &mut Unstructured<'_>) -> Result<()> {
+        if self.postpone_if_paused(&action) {
             return Ok(());
         }
-        match happening {
-            Happening::Tick { node, run } if self.runs_on(node, run) => {
-                self.after(TICK_MS, Happening::Tick { node, run });
+        match action {
+            Action::Tick { node, run } if self.runs_on(node, run) => {
+                self.after(TICK_MS, Action::Tick { node, run });
                 self.report_load(node, u)?;
                 self.step(node, &Event::Tick, u)
             }
-            Happening::Poll { node, run } if self.runs_on(node, run) => self.poll(node, run, u),
-            Happening::Event { node, run, event } if self.runs_on(node, run) => {
+            Action::Poll { node, run } if self.runs_on(node, run) => self.poll(node, run, u),
+            Action::Event { node, run, event } if self.runs_on(node, run) => {
                 self.step(node, &event, u)
             }
-            Happening::Check { node, run, request, dispatch, before }
+            Action::CheckDeadline { node, run, request, dispatch, before }
                 if self.runs_on(node, run) =>
             {
-                self.check_and_send(node, run, request, dispatch, before, u)
+                self.dispatch_before_deadline(node, run, request, dispatch, before, u)
             }
-            Happening::Arrive { node, run, dispatch, key } => {
-                self.arrive(node, run, dispatch, &key, u)
+            Action::Arrive { node, run, dispatch, key } => {
+                self.arrive_at_target(node, run, dispatch, &key, u)
             }
-            Happening::Forward { node, run, request, to, forward } => {
+            Action::Forward { node, run, request, to, forward } => {
                 self.forward(node, run, request, &to, forward, u)
             }
-            Happening::Append(record) => {
+            Action::Append(record) => {
                 if self.log.down_until <= self.now {
                     self.log.append(self.now, &record);
                 }
                 Ok(())
             }
-            Happening::Send { key } => self.send(key, u),
-            Happening::Told { send, reply } => self.told(send, &reply, u),
-            Happening::EditRow { trainer } => self.edit_row(trainer, u),
-            Happening::OpenStep => self.open_step(u),
-            Happening::Generate { node, run, dispatch, engine, began } => {
-                self.generated(node, run, dispatch, engine, began, u)
+            Action::Send { key } => self.send(key, u),
+            Action::ReplyReceived { send, reply } => self.reply_received(send, &reply, u),
+            Action::EditRow { trainer } => self.edit_row(trainer, u),
+            Action::OpenStep => self.open_step(u),
+            Action::Generate { node, run, dispatch, engine, began } => {
+                self.generation_ended(node, run, dispatch, engine, began, u)
             }
-            Happening::CheckOrder { node, run, order, engine, before }
+            Action::CheckOrder { node, run, order, engine, before }
                 if self.runs_on(node, run) && self.nodes[node].clock(self.now) < before =>
             {
                 let delay = self.delay(u)?.min(300);
-                self.after(delay, Happening::Order { node, run, order, engine });
+                self.after(delay, Action::Order { node, run, order, engine });
                 Ok(())
             }
-            Happening::Order { node, run, order, engine } => {
-                self.order(node, run, &order, engine, u)
+            Action::Order { node, run, order, engine } => {
+                self.order_arrived(node, run, &order, engine, u)
             }
-            Happening::Exited { node, run } if self.runs_on(node, run) => {
+            Action::Exited { node, run } if self.runs_on(node, run) => {
                 self.exit(node, run);
                 Ok(())
             }
-            Happening::Restart { node } => {
-                self.note(|| format!("restart n{node}"));
+            Action::Restart { node } => {
+                self.trace(|| format!("restart n{node}"));
                 self.start(node);
                 Ok(())
             }
@@ -438,7 +446,7 @@
     fn step(&mut self, node: usize, event: &Event, u: &mut Unstructured<'_>) -> Result<()> {
         let clock = self.nodes[node].clock(self.now);
         if !matches!(event, Event::Tick) {
-            self.note(|| format!("n{node} {clock:?} {event:?}"));
+            self.trace(|| format!("n{node} {clock:?} {event:?}"));
         }
         if let Event::Forwarded { request, .. } = event {
             self.nodes[node].forwarded.insert(*request);
@@ -446,41 +454,46 @@
         let effects = self.nodes[node].state.step(clock, event);
         for effect in effects {
             if !matches!(effect, Effect::Send { .. }) {
-                self.note(|| format!("n{node}   {effect:?}"));
+                self.trace(|| format!("n{node}   {effect:?}"));
             }
-            self.carry_out(node, effect, u)?;
+            self.apply_effect(node, effect, u)?;
         }
-        self.check_agreed(node);
+        self.check_folded_state(node);
         Ok(())
     }
 
-    fn carry_out(&mut self, node: usize, effect: Effect, u: &mut Unstructured<'_>) -> Result<()> {
+    fn apply_effect(
+        &mut self,
+        node: usize,
+        effect: Effect,
+        u: &mut Unstructured<'_>,
+    ) -> Result<()> {
         let run = self.nodes[node].run;
         let delay = self.delay(u)?;
         match effect {
             Effect::Dispatch { request, dispatch, before, .. } => {
-                self.after(delay, Happening::Check { node, run, request, dispatch, before });
+                self.after(delay, Action::CheckDeadline { node, run, request, dispatch, before });
             }
             Effect::Forward { request, address, forward } => {
-                self.after(0, Happening::Forward { node, run, request, to: address, forward });
+                self.after(0, Action::Forward { node, run, request, to: address, forward });
             }
             Effect::Reply { request, reply, reading } => {
                 self.reply(node, request, &reply, reading, delay);
             }
             Effect::Send { from, address, message } => {
-                let Some(to) = self.place_of(&address) else {
+                let Some(to) = self.node_index(&address) else {
                     return Ok(());
                 };
-                if self.is_cut(node, to) || self.chance(u, 50)? {
+                if self.is_partitioned(node, to) || self.chance(u, 50)? {
                     return Ok(());
                 }
                 let event = Event::Peer { from, message };
                 let run = self.nodes[to].run;
                 if self.chance(u, 50)? {
                     let event = event.clone();
-                    self.after(delay * 3, Happening::Event { node: to, run, event });
+                    self.after(delay * 3, Action::Event { node: to, run, event });
                 }
-                self.after(delay, Happening::Event { node: to, run, event });
+                self.after(delay, Action::Event { node: to, run, event });
             }
             Effect::Append { record } => {
                 let cut = self.nodes[node].log_cut_until > self.now;
@@ -488,26 +501,26 @@
                     return Ok(());
                 }
                 if self.chance(u, 15)? {
-                    self.after(delay + 100, Happening::Append(record.clone()));
+                    self.after(delay + 100, Action::Append(record.clone()));
                 }
-                self.after(delay, Happening::Append(record));
+                self.after(delay, Action::Append(record));
             }
             Effect::Generate { request, dispatch, slot, address, .. } => {
-                let Some(engine) = self.engine_of(&address) else {
+                let Some(engine) = self.engine_index(&address) else {
                     return Ok(());
                 };
                 self.samples.insert((node, run, dispatch), (request, slot));
                 let began = self.now + delay;
                 let took = if self.chance(u, 4)? { 1_200 } else { 60 };
-                self.at(began + took, Happening::Generate { node, run, dispatch, engine, began });
+                self.at(began + took, Action::Generate { node, run, dispatch, engine, began });
             }
             Effect::Deliver { request, dispatch, slot, versions } => {
                 let row = self.nodes[node].state.agreed().table.row("t0").cloned();
                 let produced = self.samples.get(&(node, run, dispatch)).map(|(_, slot)| *slot);
                 let verdict =
                     self.trainer.receive((node, run, request), slot, &versions, row.as_ref());
-                let place = produced == Some(slot);
-                self.checks.sample(self.now, verdict, place);
+                let slot_matches = produced == Some(slot);
+                self.checks.sample(self.now, verdict, slot_matches);
                 self.trainer.check_versions(
                     &mut self.checks,
                     self.now,
@@ -521,36 +534,36 @@
                 if self.trainer.is_open_as(node, run, request) {
                     self.trainer.close();
                 }
-                self.after(60, Happening::OpenStep);
+                self.after(60, Action::OpenStep);
             }
             Effect::Order { address, order, before, .. } => {
-                if let Some(engine) = self.engine_of(&address) {
-                    self.after(delay, Happening::CheckOrder { node, run, order, engine, before });
+                if let Some(engine) = self.engine_index(&address) {
+                    self.after(delay, Action::CheckOrder { node, run, order, engine, before });
                 }
             }
             Effect::Exit => {
-                self.note(|| format!("n{node} exits"));
+                self.trace(|| format!("n{node} exits"));
                 self.checks.count(Fault::Exited);
                 self.nodes[node].exiting = true;
-                self.after(LINGER_MS, Happening::Exited { node, run });
+                self.after(LINGER_MS, Action::Exited { node, run });
             }
             _ => {}
         }
         Ok(())
     }
 
-    fn place_of(&self, address: &str) -> Option<usize> {
+    fn node_index(&self, address: &str) -> Option<usize> {
         self.nodes.iter().position(|node| node.name == address)
     }
 
-    fn engine_of(&self, address: &str) -> Option<usize> {
-        address.strip_prefix('e').and_then(|place| place.parse().ok())
+    fn engine_index(&self, address: &str) -> Option<usize> {
+        address.strip_prefix('e').and_then(|index| index.parse().ok())
     }
 
     fn poll(&mut self, node: usize, run: u64, u: &mut Unstructured<'_>) -> Result<()> {
         let reachable =
             self.log.down_until <= self.now && self.nodes[node].log_cut_until <= self.now;
-        self.after(POLL_MS, Happening::Poll { node, run });
+        self.after(POLL_MS, Action::Poll { node, run });
         if !reachable {
             return Ok(());
         }
@@ -561,72 +574,75 @@
         self.nodes[node].log_from = after_last.unwrap_or(from.max(first));
         let event = Event::LogRead { sent, first, records, at_end: true };
         let delay = self.delay(u)?;
-        // The next poll comes after this one's answer.
-        self.after(delay.min(POLL_MS - 10), Happening::Event { node, run, event });
+        // The answer arrives before the next poll.
+        self.after(delay.min(POLL_MS - 10), Action::Event { node, run, event });
         Ok(())
     }
 
-    // Checks.
-
-    fn check_agreed(&mut self, node: usize) {
+    fn check_folded_state(&mut self, node: usize) {
         let state = &self.nodes[node].state;
         let agreed = state.agreed();
-        let (next, whole) = state.folded();
+        let (next, complete) = state.folded();
         let before = self.nodes[node].folded;
         if next < before {
             let text = format!("n{node} went back from offset {before} to {next}");
             self.checks.violate(Fault::Reverted, self.now, text);
         }
-        if next != before && whole && !self.log.agrees(agreed) {
+        if next != before && complete && !self.log.matches(agreed) {
             let text = format!("n{node} differs from the log at offset {next}");
             self.checks.violate(Fault::Reverted, self.now, text);
         }
         self.nodes[node].folded = next;
     }
 
-    fn check_settled(&mut self) {
+    fn check_converged(&mut self) {
         let expected: BTreeSet<usize> =
             (0..self.nodes.len()).filter(|node| self.nodes[*node].alive).collect();
         for node in expected {
-            let (next, whole) = self.nodes[node].state.folded();
+            let (next, complete) = self.nodes[node].state.folded();
             let state = &self.nodes[node].state;
             if state.is_draining() {
                 continue;
             }
             let due = self.log.next_at(self.now - IN_FORCE_MS);
-            if !whole || next < due {
-                let text = format!("n{node} is at {next}, due is {due}, whole: {whole}");
+            if !complete || next < due {
+                let text = format!(
+                    "n{node} has folded up to {next}, expected {due}; complete: {complete}"
+                );
                 self.checks.violate(Fault::NotInForce, self.now, text);
             }
-            if self.shape == Shape::OneDomain && !state.ownership().is_active() {
+            if self.scenario == Scenario::OneDomain && !state.ownership().is_active() {
                 let (ready_at, now) =
                     (state.ownership().ready_at(), self.nodes[node].clock(self.now));
-                let text = format!("n{node} owns no keys after calm at {now:?}: {ready_at:?}");
+                let text =
+                    format!("n{node} owns no keys after convergence time at {now:?}: {ready_at:?}");
                 self.checks.violate(Fault::NotInForce, self.now, text);
             }
         }
-        let lost = self.checks.lost_edits(self.log.whole());
+        let lost = self.checks.lost_edits(self.log.state());
         for revision in lost {
             let text = format!("accepted revision {revision} is not in the log's state");
             self.checks.violate(Fault::Reverted, self.now, text);
         }
-        if self.shape == Shape::Rollouts && !self.trainer.needs_row() {
-            let newest = self.trainer.newest();
-            for place in 0..self.engines.len() {
-                let served = self.engines[place].version;
+        if self.scenario == Scenario::Rollouts && !self.trainer.needs_row() {
+            let newest = self.trainer.newest_version();
+            for index in 0..self.engines.len() {
+                let served = self.engines[index].version;
                 if served != newest {
-                    let text = format!("e{place} serves {served} of {newest} after calm");
+                    let text = format!(
+                        "e{index} serves version {served} after convergence time, expected {newest}"
+                    );
                     self.checks.violate(Fault::WrongVersion, self.now, text);
                 }
             }
         }
     }
 
-    pub(crate) fn is_sound(&self) -> bool {
+    pub(crate) fn has_no_violations(&self) -> bool {
         self.checks.violations.is_empty()
     }
 
-    pub(crate) fn assert_sound(&self) {
-        assert!(self.is_sound(), "{:#?}", self.checks.violations);
+    pub(crate) fn assert_no_violations(&self) {
+        assert!(self.has_no_violations(), "{:#?}", self.checks.violations);
     }
 }
--- a/crates/hollywell/tests/interleavings/world/rollouts.rs
+++ b/crates/hollywell/tests/interleavings/world/rollouts.rs
@@ -1,4 +1,4 @@
-//! Operators' edits, trainers, engines and orders.
+//! Simulated operators' edits, trainers, engines and orders to load weights.
 
 use arbtest::arbitrary::{Result, Unstructured};
 use hollywell::{
@@ -11,7 +11,7 @@
     prelude::{Dispatch, Event},
 };
 
-use super::{Engine, Happening, World};
+use super::{Action, Engine, World};
 use crate::node::Waiter;
 
 impl World {
@@ -19,7 +19,7 @@
         let node = u.int_in_range(0..=self.nodes.len() - 1)?;
         if !self.nodes[node].is_open() {
             if self.trainer.needs_row() {
-                self.after(100, Happening::EditRow { trainer });
+                self.after(100, Action::EditRow { trainer });
             }
             return Ok(());
         }
@@ -43,13 +43,13 @@
         let request = self.nodes[node].new_request(waiter);
         let run = self.nodes[node].run;
         self.trainer.row_edited();
-        self.after(1, Happening::Event { node, run, event: Event::Edit { request, edit } });
+        self.after(1, Action::Event { node, run, event: Event::Edit { request, edit } });
         Ok(())
     }
 
     pub(super) fn report_load(&mut self, node: usize, u: &mut Unstructured<'_>) -> Result<()> {
-        for place in 0..self.engines.len() {
-            let engine = &self.engines[place];
+        for engine_index in 0..self.engines.len() {
+            let engine = &self.engines[engine_index];
             let load = Load {
                 slots: 4,
                 versions: [(String::from("t0"), engine.version)].into(),
@@ -57,11 +57,11 @@
             };
             let run = self.nodes[node].run;
             let delay = self.delay(u)?;
-            let version = self.trainer.newest();
-            let newest = Event::Version { trainer: String::from("t0"), version };
-            self.after(delay, Happening::Event { node, run, event: newest });
-            let event = Event::Loaded { target: format!("e{place}"), load: Some(load) };
-            self.after(delay, Happening::Event { node, run, event });
+            let version = self.trainer.newest_version();
+            let version_event = Event::Version { trainer: String::from("t0"), version };
+            self.after(delay, Action::Event { node, run, event: version_event });
+            let event = Event::Loaded { target: format!("e{engine_index}"), load: Some(load) };
+            self.after(delay, Action::Event { node, run, event });
         }
         Ok(())
     }
@@ -72,20 +72,17 @@
             return Ok(());
         }
         if !self.nodes[node].is_open() {
-            self.after(100, Happening::OpenStep);
+            self.after(100, Action::OpenStep);
             return Ok(());
         }
         let run = self.nodes[node].run;
         let request = self.nodes[node].new_request(Waiter::Trainer);
         let opening = self.trainer.open(node, run, request, 6_000);
-        self.after(
-            1,
-            Happening::Event { node, run, event: Event::StepOpened { request, opening } },
-        );
+        self.after(1, Action::Event { node, run, event: Event::StepOpened { request, opening } });
         Ok(())
     }
 
-    pub(super) fn generated(
+    pub(super) fn generation_ended(
         &mut self,
         node: usize,
         run: u64,
@@ -100,45 +97,46 @@
         } else if self.chance(u, 20)? {
             rollout::End::Whole(vec![])
         } else {
-            self.trainer.produced(dispatch, (node, run), versions.clone());
+            self.trainer.record_generated(dispatch, (node, run), versions.clone());
             rollout::End::Whole(versions)
         };
         let delay = self.delay(u)?;
         let event = Event::SampleEnded { dispatch, end };
         if self.chance(u, 15)? {
             let event = event.clone();
-            self.after(delay + 40, Happening::Event { node, run, event });
+            self.after(delay + 40, Action::Event { node, run, event });
         }
-        self.after(delay, Happening::Event { node, run, event });
+        self.after(delay, Action::Event { node, run, event });
         Ok(())
     }
 
-    pub(super) fn order(
+    pub(super) fn order_arrived(
         &mut self,
         node: usize,
         run: u64,
         order: &Order,
-        place: usize,
+        engine_index: usize,
         u: &mut Unstructured<'_>,
     ) -> Result<()> {
         let fails = self.chance(u, 6)?;
         let now = self.now;
-        let engine = &mut self.engines[place];
-        let fenced = engine.enforces && order.fence < engine.fence;
+        let engine = &mut self.engines[engine_index];
+        let fenced = engine.checks_fence && order.fence < engine.fence;
         engine.fence = engine.fence.max(order.fence);
         let taken = !fails && !fenced;
         if taken && engine.version != order.version {
             engine.version = order.version;
             engine.served.push((now, order.version));
         }
-        self.checks.order(now, place, order, fenced);
-        let event = Event::OrderEnded { target: format!("e{place}"), taken };
-        self.after(5, Happening::Event { node, run, event });
+        self.checks.order(now, engine_index, order, fenced);
+        let event = Event::OrderEnded { target: format!("e{engine_index}"), taken };
+        self.after(5, Action::Event { node, run, event });
         Ok(())
     }
 }
 
-/// The versions that an engine served from `began` to `ended`, in order.
+/// Returns the versions that an engine served from `began` to `ended`, in
+/// order.
 fn versions_between(engine: &Engine, began: u64, ended: u64) -> Vec<u64> {
     let before = engine.served.iter().rev().find(|(at, _)| *at <= began);
     let mut versions = vec![before.map_or(0, |(_, version)| *version)];
