--- a/crates/hollywell/tests/reducer/agreed.rs
+++ b/crates/hollywell/tests/reducer/agreed.rs
@@ -1,4 +1,4 @@
-//! The table and its snapshots.
+//! Edits of the replicated table, and log snapshots.
 
 use hollywell::{
     core::{member::Kind as MemberKind, stream::Record, table::Edit},
@@ -9,10 +9,10 @@
 use crate::help::*;
 
 #[test]
-fn an_edit_whose_append_is_lost_is_appended_again_and_then_given_up_as_unknown() {
+fn a_lost_edit_append_is_retried_then_answered_as_unknown() {
     let mut state = state_with(vec![]);
     let edit = Edit { id: "x".into(), by: "o".into(), trainer: "t".into(), base: None, row: None };
-    let asked = Event::Edit { request: Request(1), edit };
+    let edit_event = Event::Edit { request: Request(1), edit };
     let mut appended = 0;
     let mut kinds = vec![];
     let mut count = |effects: &[Effect]| {
@@ -21,16 +21,20 @@
         appended += effects.iter().filter(append).count();
         kinds.extend(refused(effects));
     };
-    count(&state.step(Time(2_000), &asked));
+    count(&state.step(Time(2_000), &edit_event));
     for n in 1..60 {
         count(&state.step(Time(2_000 + n * 100), &Event::Tick));
     }
     assert_eq!((appended, kinds), (5, vec![Kind::LogUnavailable]));
-    assert_eq!(Kind::LogUnavailable.answer().outcome, Outcome::Unknown, "a record may still come");
+    assert_eq!(
+        Kind::LogUnavailable.answer().outcome,
+        Outcome::Unknown,
+        "an earlier append may still take effect"
+    );
 }
 
 #[test]
-fn snapshots_are_written_by_the_next_in_rank_when_the_first_does_not() {
+fn the_second_ranked_instance_writes_snapshots_if_the_first_does_not() {
     let mut config = Config::new(Instance::new("b", 1), "d", &["d"]);
     config.snapshot_records = 10;
     let mut state = State::new(config);
@@ -51,5 +55,9 @@
             written_at.push(offset + 1);
         }
     }
-    assert_eq!(written_at, [15], "half again as many records as the first one waits for");
+    assert_eq!(
+        written_at,
+        [15],
+        "the second in rank waits for 1.5 times as many records as the first"
+    );
 }
--- a/crates/hollywell/tests/reducer/help.rs
+++ b/crates/hollywell/tests/reducer/help.rs
@@ -1,4 +1,4 @@
-//! States and events that the cases start from.
+//! Fixtures: states, events, and filters of effects.
 
 use hollywell::{
     core::{
@@ -44,19 +44,19 @@
 }
 
 pub(crate) fn dispatched(effects: &[Effect]) -> Vec<(Dispatch, String)> {
-    let one = |effect: &Effect| match effect {
+    let select = |effect: &Effect| match effect {
         Effect::Dispatch { dispatch, address, .. } => Some((*dispatch, address.clone())),
         _ => None,
     };
-    effects.iter().filter_map(one).collect()
+    effects.iter().filter_map(select).collect()
 }
 
 pub(crate) fn refused(effects: &[Effect]) -> Vec<Kind> {
-    let one = |effect: &Effect| match effect {
+    let select = |effect: &Effect| match effect {
         Effect::Reply { reply: Reply::Refused(kind), .. } => Some(*kind),
         _ => None,
     };
-    effects.iter().filter_map(one).collect()
+    effects.iter().filter_map(select).collect()
 }
 
 pub(crate) fn end(
--- a/crates/hollywell/tests/reducer/main.rs
+++ b/crates/hollywell/tests/reducer/main.rs
@@ -1,4 +1,4 @@
-//! The reducer, one decision a test.
+//! Unit tests of the reducer, one decision per test.
 
 mod agreed;
 mod calls;
--- a/crates/hollywell/tests/reducer/samples.rs
+++ b/crates/hollywell/tests/reducer/samples.rs
@@ -1,4 +1,4 @@
-//! Steps, samples and second runs.
+//! Steps, samples and hedged samples.
 
 use hollywell::{
     core::{
@@ -31,11 +31,11 @@
 }
 
 fn generated(effects: &[Effect]) -> Vec<Dispatch> {
-    let one = |effect: &Effect| match effect {
+    let select = |effect: &Effect| match effect {
         Effect::Generate { dispatch, .. } => Some(*dispatch),
         _ => None,
     };
-    effects.iter().filter_map(one).collect()
+    effects.iter().filter_map(select).collect()
 }
 
 fn delivered(effects: &[Effect]) -> usize {
@@ -50,33 +50,37 @@
 }
 
 #[test]
-fn a_trainer_has_no_more_samples_in_flight_than_its_row_allows() {
+fn samples_in_flight_stay_within_the_row_s_limit() {
     let mut state = rollout_state();
     assert_eq!(generated(&state.step(Time(1_003), &open_step(4))).len(), 2);
 }
 
 #[test]
-fn a_bound_that_is_tightened_in_mid_flight_holds_at_delivery() {
+fn a_tightened_staleness_bound_applies_at_delivery() {
     let mut state = rollout_state();
     let started = generated(&state.step(Time(1_003), &open_step(5)));
-    let whole = |dispatch| Event::SampleEnded { dispatch, end: SampleEnd::Whole(vec![4, 5]) };
-    assert_eq!(delivered(&state.step(Time(1_004), &whole(started[0]))), 1, "one behind is fine");
+    let complete = |dispatch| Event::SampleEnded { dispatch, end: SampleEnd::Whole(vec![4, 5]) };
+    assert_eq!(
+        delivered(&state.step(Time(1_004), &complete(started[0]))),
+        1,
+        "a staleness of one is within the bound"
+    );
     state.step(Time(1_005), &edit(1, Some(0), 0));
-    let effects = state.step(Time(1_006), &whole(started[1]));
-    assert_eq!(delivered(&effects), 0, "nothing behind is allowed any longer");
+    let effects = state.step(Time(1_006), &complete(started[1]));
+    assert_eq!(delivered(&effects), 0, "a staleness of one exceeds the tightened bound of zero");
 }
 
 #[test]
-fn a_late_duplicate_is_dropped() {
+fn a_duplicate_sample_is_not_delivered() {
     let mut state = rollout_state();
     let started = generated(&state.step(Time(1_003), &open_step(4)));
-    let whole = Event::SampleEnded { dispatch: started[0], end: SampleEnd::Whole(vec![4]) };
-    assert_eq!(delivered(&state.step(Time(1_004), &whole)), 1);
-    assert_eq!(delivered(&state.step(Time(1_005), &whole)), 0);
+    let complete = Event::SampleEnded { dispatch: started[0], end: SampleEnd::Whole(vec![4]) };
+    assert_eq!(delivered(&state.step(Time(1_004), &complete)), 1);
+    assert_eq!(delivered(&state.step(Time(1_005), &complete)), 0);
 }
 
 #[test]
-fn a_sample_that_names_no_version_runs_again() {
+fn a_sample_without_versions_is_generated_again() {
     let mut state = rollout_state();
     let started = generated(&state.step(Time(1_003), &open_step(4)));
     let unnamed = Event::SampleEnded { dispatch: started[0], end: SampleEnd::Whole(vec![]) };
@@ -85,14 +89,14 @@
 }
 
 #[test]
-fn a_stopping_instance_hands_a_step_over_after_its_samples_in_flight() {
+fn a_draining_instance_ends_a_step_after_its_samples_in_flight() {
     let mut state = rollout_state();
     let started = generated(&state.step(Time(1_003), &open_step(4)));
     state.step(Time(1_004), &Event::Drain);
     for (number, dispatch) in started.iter().enumerate() {
-        let whole = Event::SampleEnded { dispatch: *dispatch, end: SampleEnd::Whole(vec![4]) };
-        let effects = state.step(Time(1_005 + number as u64), &whole);
-        assert_eq!(delivered(&effects), 1, "what is in flight is delivered");
+        let complete = Event::SampleEnded { dispatch: *dispatch, end: SampleEnd::Whole(vec![4]) };
+        let effects = state.step(Time(1_005 + number as u64), &complete);
+        assert_eq!(delivered(&effects), 1, "samples in flight are delivered while draining");
         let ended = |effect: &Effect| match effect {
             Effect::EndStep { missing, reason, .. } => Some((*missing, *reason)),
             _ => None,
@@ -106,7 +110,7 @@
 }
 
 #[test]
-fn a_trainer_that_goes_does_not_make_its_engine_look_faulty() {
+fn cancelled_samples_do_not_count_as_engine_faults() {
     let mut state = rollout_state();
     let started = generated(&state.step(Time(1_003), &open_step(4)));
     let effects = state.step(Time(1_004), &Event::CallerGone { request: Request(9) });
@@ -115,41 +119,52 @@
     for dispatch in started {
         state.step(Time(1_005), &Event::SampleEnded { dispatch, end: SampleEnd::Broken });
     }
-    assert_eq!(generated(&state.step(Time(1_006), &open_step(4))).len(), 2, "it takes new work");
+    assert_eq!(
+        generated(&state.step(Time(1_006), &open_step(4))).len(),
+        2,
+        "the engine must still get samples"
+    );
 }
 
-/// Two engines, and a step of three samples of which two ended after 100 ms.
+/// Returns a state with two engines and a step of three samples, two of which
+/// ended after 100 ms, and the dispatch of the third.
 fn straggling_state() -> (State, Dispatch) {
     let engine = |name: &str| listed(name, MemberKind::Engine, "gen");
     let mut state = state_with(vec![engine("e1"), engine("e2")]);
     state.step(Time(1_001), &edit(0, None, 1));
     for name in ["e1", "e2"] {
-        let Event::Loaded { load, .. } = loaded(4) else { unreachable!("it is a report") };
+        let Event::Loaded { load, .. } = loaded(4) else {
+            unreachable!("loaded() returns Event::Loaded")
+        };
         state.step(Time(1_002), &Event::Loaded { target: name.into(), load });
     }
     let mut running = generated(&state.step(Time(1_003), &open_step(4)));
     let last = running.pop().expect("two samples were started");
-    let whole = |dispatch| Event::SampleEnded { dispatch, end: SampleEnd::Whole(vec![4]) };
-    let next = generated(&state.step(Time(1_103), &whole(running[0])));
+    let complete = |dispatch| Event::SampleEnded { dispatch, end: SampleEnd::Whole(vec![4]) };
+    let next = generated(&state.step(Time(1_103), &complete(running[0])));
     let early = state.step(Time(1_150), &Event::Tick);
-    assert_eq!(generated(&early), [], "147 ms are less than twice the average of 100 ms");
-    state.step(Time(1_203), &whole(next[0]));
+    assert_eq!(
+        generated(&early),
+        [],
+        "no hedge after 147 ms, less than twice the average of 100 ms"
+    );
+    state.step(Time(1_203), &complete(next[0]));
     (state, last)
 }
 
-fn engine_of(effects: &[Effect]) -> Vec<String> {
-    let one = |effect: &Effect| match effect {
+fn engine_addresses(effects: &[Effect]) -> Vec<String> {
+    let select = |effect: &Effect| match effect {
         Effect::Generate { address, .. } => Some(address.clone()),
         _ => None,
     };
-    effects.iter().filter_map(one).collect()
+    effects.iter().filter_map(select).collect()
 }
 
 #[test]
-fn a_straggler_is_run_a_second_time_elsewhere_and_the_loser_is_cancelled() {
+fn a_straggler_is_hedged_and_the_slower_run_cancelled() {
     let (mut state, straggler) = straggling_state();
     let hedge = state.step(Time(1_204), &Event::Tick);
-    assert_eq!(engine_of(&hedge).len(), 1);
+    assert_eq!(engine_addresses(&hedge).len(), 1);
     let second = generated(&hedge)[0];
     let effects = state.step(
         Time(1_300),
@@ -157,34 +172,39 @@
     );
     assert_eq!(delivered(&effects), 1);
     assert!(effects.contains(&Effect::Cancel { dispatch: straggler }));
-    // The loser's stream was whole after all, a moment too late.
+    // The cancelled stream still completes, but after the hedge was delivered.
     let late = Event::SampleEnded { dispatch: straggler, end: SampleEnd::Whole(vec![4]) };
     assert_eq!(delivered(&state.step(Time(1_301), &late)), 0);
 }
 
 #[test]
-fn a_hedge_goes_to_another_engine_and_only_within_the_budget() {
+fn a_hedge_needs_another_engine_and_budget() {
     let (mut state, _) = straggling_state();
-    let Event::Loaded { load, .. } = loaded(4) else { unreachable!("it is a report") };
+    let Event::Loaded { load, .. } = loaded(4) else {
+        unreachable!("loaded() returns Event::Loaded")
+    };
     let hedge = state.step(Time(1_204), &Event::Tick);
-    let first = engine_of(&hedge)[0].clone();
-    // The engine that has the straggler is the only one left: no hedge.
+    let first = engine_addresses(&hedge)[0].clone();
+    // Only the straggler's own engine is left, so there is no hedge.
     let (mut other, _) = straggling_state();
     let gone = first.split(':').next().unwrap_or_default().to_owned();
     other.step(Time(1_203), &Event::Loaded { target: gone, load: None });
     assert_eq!(generated(&other.step(Time(1_204), &Event::Tick)), []);
-    // A tenth of three samples is one.
+    // The hedge budget is a tenth of the three samples, rounded up to one, and
+    // is spent.
     state.step(Time(1_205), &Event::Loaded { target: "e1".into(), load });
     assert_eq!(generated(&state.step(Time(9_000), &Event::Tick)), []);
 }
 
 #[test]
-fn no_more_than_the_budget_is_run_a_second_time() {
+fn hedges_stay_within_the_budget() {
     let engine = |name: &str| listed(name, MemberKind::Engine, "gen");
     let mut state = state_with(vec![engine("e1"), engine("e2"), engine("e3")]);
     state.step(Time(1_001), &edit_to(0, None, Row { in_flight: 100, ..row(1) }));
     for name in ["e1", "e2", "e3"] {
-        let Event::Loaded { load, .. } = loaded(4) else { unreachable!("it is a report") };
+        let Event::Loaded { load, .. } = loaded(4) else {
+            unreachable!("loaded() returns Event::Loaded")
+        };
         state.step(Time(1_002), &Event::Loaded { target: name.into(), load });
     }
     let opening = Opening {
@@ -199,16 +219,16 @@
     let running = generated(&state.step(Time(1_003), &opened));
     assert_eq!(running.len(), 10);
     for dispatch in &running[..7] {
-        let whole = SampleEnd::Whole(vec![4]);
-        state.step(Time(1_103), &Event::SampleEnded { dispatch: *dispatch, end: whole });
+        let complete = SampleEnd::Whole(vec![4]);
+        state.step(Time(1_103), &Event::SampleEnded { dispatch: *dispatch, end: complete });
     }
-    // Three samples straggle, and a tenth of ten is one.
-    let second = (0..20).flat_map(|n| generated(&state.step(Time(2_000 + n * 100), &Event::Tick)));
-    assert_eq!(second.count(), 1);
+    // Three samples straggle; the budget, a tenth of ten, allows one hedge.
+    let hedges = (0..20).flat_map(|n| generated(&state.step(Time(2_000 + n * 100), &Event::Tick)));
+    assert_eq!(hedges.count(), 1);
 }
 
 #[test]
-fn a_step_whose_row_is_removed_ends_at_once() {
+fn a_step_ends_when_its_table_row_is_removed() {
     let mut state = rollout_state();
     state.step(Time(1_003), &open_step(4));
     let removal =
