--- a/crates/hollywell/tests/poison.rs
+++ b/crates/hollywell/tests/poison.rs
@@ -1,10 +1,11 @@
-//! Who is to blame when targets end: many instances, each of which sees its
-//! own requests only, in simulated time.
+//! Detection of poison requests, that is, requests that end their target. Many
+//! instances, each of which sees only its own requests, run in simulated time.
 //!
-//! A culprit comes every half a second or so, others all the time; what broke
-//! off is sent once more at once, and scoring requests until they are served.
-//! To be at three ends is therefore no proof: what is retried beside the
-//! culprit gets there too, within a second.
+//! A poison request arrives about every half second, innocent requests arrive
+//! all the time. An interrupted request is retried once at once, and scoring
+//! requests are retried until they are served. Presence at three ends of targets
+//! is therefore no proof: an innocent request that is retried beside a poison
+//! request reaches three ends within a second, too.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -17,33 +18,35 @@
 };
 use rand::{Rng as _, SeedableRng as _, rngs::SmallRng};
 
-/// Generated schedules, with fixed seeds.
+/// Number of generated schedules, with fixed seeds.
 const SCHEDULES: u64 = 100;
-/// How long what one instance saw may take to be known to all, in
+/// Maximum time until all instances know what one instance observed, in
 /// milliseconds.
-const CONTACT_MS: u64 = 3_000;
-/// Sends that are borne after that.
-const AFTER: u64 = 3;
+const PROPAGATION_MS: u64 = 3_000;
+/// Maximum number of ends under one poison request after that time.
+const MAX_LATE_ENDS: u64 = 3;
 /// Length of a schedule, in milliseconds.
-const DAY_MS: u64 = 60_000;
-/// Step of the simulation, and how long a request runs: several steps.
+const SCHEDULE_MS: u64 = 60_000;
+/// Step of the simulation, and duration of a request: several steps. Both in
+/// milliseconds.
 const STEP_MS: u64 = 10;
 const RUN_MS: u64 = 60;
-/// Ends after which twins that always come together are held back.
-const BEYOND_DOUBT: u32 = 5;
-/// How long a target is down, in milliseconds.
+/// Ends after which two requests that always run together are both held back.
+const ENDS_TO_HOLD_PAIR: u32 = 5;
+/// Time until an ended target is up again, in milliseconds.
 const DOWN_MS: u64 = 3_300;
-/// How long an innocent request that was beside several culprits, one after
-/// the other, may be held back until more is known of those, in milliseconds.
-const BETWEEN_CULPRITS_MS: u64 = 10_000;
-/// The same where a dozen culprits come together all the time, at targets that
-/// are therefore mostly down.
-/// A sample whose score comes within that time is still worth having.
-const IN_A_CROWD_MS: u64 = 40_000;
-/// Proper requests that may be refused: so many, and one of so many.
-const REFUSED: u64 = 5;
-const REFUSED_OF: u64 = 500;
-/// When the schedule begins: some day in 2001.
+/// Maximum time for which an innocent request that ran beside several poison
+/// requests in turn may be held back, until more is known about those, in
+/// milliseconds.
+const MAX_HOLD_MS: u64 = 10_000;
+/// The same limit where a dozen poison requests are retried all the time, so
+/// that targets are mostly down. A sample that is scored within this time is
+/// still useful.
+const MAX_HOLD_UNDER_LOAD_MS: u64 = 40_000;
+/// Innocent requests that may be held for longer: 5, and in addition one in 500.
+const MAX_HELD_TOO_LONG: u64 = 5;
+const ONE_HELD_TOO_LONG_IN: u64 = 500;
+/// Start of the schedule as Unix time: a day in September 2001.
 const START_MS: u64 = 1_000_000_000_000;
 
 fn digest(number: u64) -> Digest {
@@ -55,22 +58,22 @@
     number: u64,
     instance: usize,
     target: usize,
-    /// The target's life that it was sent to.
-    life: u64,
+    /// Incarnation of the target that the request was sent to.
+    incarnation: u64,
     until: u64,
-    /// It was suspected when it was sent.
-    is_trial: bool,
-    /// Sends of this attempt that end a target, and that it may still have.
-    ends_left: u32,
+    /// Whether the request was a suspect when it was sent.
+    is_probe: bool,
+    /// Sends that this attempt may still use, each ended by an end of a target.
+    sends_left: u32,
 }
 
 #[derive(Clone, Copy)]
 struct Target {
-    life: u64,
+    incarnation: u64,
     up_at: u64,
 }
 
-/// A request that waits to be sent again.
+/// A request that waits for its retry.
 struct Waiting {
     number: u64,
     at: u64,
@@ -82,20 +85,22 @@
     targets: Vec<Target>,
     running: Vec<Running>,
     waiting: Vec<Waiting>,
-    /// What instances have said, and when each of the others reads it.
-    said: Vec<(u64, usize, Digest, Vec<u8>)>,
-    /// Ends under each culprit.
+    /// Messages in transit between instances: delivery time, recipient, request
+    /// digest and record.
+    messages: Vec<(u64, usize, Digest, Vec<u8>)>,
+    /// Times of the ends of targets, by the poison request that caused them.
     ends: BTreeMap<u64, Vec<u64>>,
-    culprits: u64,
-    /// Culprits come again until they are served, which they never are.
+    poison_count: u64,
+    /// Whether poison requests are retried without end; they are never served.
     persistent: bool,
-    /// One suspect of all instances is tried at a time, at a target that is
-    /// kept free for it.
-    turns: Option<Permits>,
-    /// Since when innocent requests have been held back.
-    held: BTreeMap<u64, u64>,
-    /// Innocent requests that were held back for too long in a crowd.
-    too_long: BTreeSet<u64>,
+    /// If set, only one suspect over all instances is probed at a time, at a
+    /// target that is reserved for it.
+    permits: Option<Permits>,
+    /// Innocent requests that are held back, with the time of the first refusal.
+    held_since: BTreeMap<u64, u64>,
+    /// Innocent requests that were held back for longer than
+    /// [`MAX_HOLD_UNDER_LOAD_MS`].
+    held_too_long: BTreeSet<u64>,
     random: SmallRng,
 }
 
@@ -104,18 +109,19 @@
         self.random.random_range(0..limit.max(1))
     }
 
-    fn tell(&mut self, from: usize, digest: Digest) {
+    fn broadcast(&mut self, from: usize, digest: Digest) {
         let record = self.instances[from].record(digest).unwrap_or_default();
         for to in (0..self.instances.len()).filter(|to| *to != from) {
-            let late = 5 + self.below(100) as u64;
-            self.said.push((self.now + late, to, digest, record.clone()));
+            let delay_ms = 5 + self.below(100) as u64;
+            self.messages.push((self.now + delay_ms, to, digest, record.clone()));
         }
     }
 
-    fn hear(&mut self) {
+    fn deliver_messages(&mut self) {
         let now = self.now;
-        let (due, later): (Vec<_>, Vec<_>) = self.said.drain(..).partition(|said| said.0 <= now);
-        self.said = later;
+        let (due, later): (Vec<_>, Vec<_>) =
+            self.messages.drain(..).partition(|message| message.0 <= now);
+        self.messages = later;
         for (_, to, digest, record) in due {
             match record.as_slice() {
                 [] => drop(self.instances[to].record_answer(digest)),
@@ -124,93 +130,98 @@
         }
     }
 
-    /// Sends a request from some instance to some target that is up.
-    fn send(&mut self, number: u64, ends_left: Option<u32>) {
+    /// Sends a request from a random instance to a target that is up.
+    fn send(&mut self, number: u64, sends_left: Option<u32>) {
         let instance = self.below(self.instances.len());
         let verdict = self.instances[instance].verdict(self.now, digest(number));
-        let innocent = number >= self.culprits;
+        let innocent = number >= self.poison_count;
         if matches!(verdict, Verdict::Held(_)) {
             if innocent {
-                let since = *self.held.entry(number).or_insert(self.now);
+                let since = *self.held_since.entry(number).or_insert(self.now);
                 let for_ms = self.now - since;
-                // One culprit alone never makes another request look like it.
-                assert!(self.culprits > 1, "{number} is held back");
-                if self.persistent && for_ms > IN_A_CROWD_MS {
-                    self.too_long.insert(number);
+                // With a single poison request no innocent one may be held back.
+                assert!(self.poison_count > 1, "innocent request {number} is held back");
+                if self.persistent && for_ms > MAX_HOLD_UNDER_LOAD_MS {
+                    self.held_too_long.insert(number);
                 } else if !self.persistent {
-                    assert!(for_ms <= BETWEEN_CULPRITS_MS, "{number} is held back for {for_ms} ms");
+                    assert!(
+                        for_ms <= MAX_HOLD_MS,
+                        "innocent request {number} is held back for {for_ms} ms"
+                    );
                 }
             }
             if innocent || self.persistent {
-                self.again(number);
+                self.schedule_retry(number);
             }
             return;
         }
         let up: Vec<usize> =
             (0..self.targets.len()).filter(|at| self.targets[*at].up_at <= self.now).collect();
         if up.is_empty() {
-            return self.again(number);
+            return self.schedule_retry(number);
         }
         let state = &self.instances[instance];
         let since_ms = state.since_end_ms(self.now, digest(number));
-        let is_trial = since_ms.is_some();
+        let is_probe = since_ms.is_some();
         let target = match since_ms {
             None => {
-                let open = self.open(instance, &up);
-                open[self.below(open.len())]
+                let targets = self.unreserved_targets(instance, &up);
+                targets[self.below(targets.len())]
             }
             Some(since_ms) => {
-                // One at a time, so that each is alone as often as possible.
-                let tries = |run: &Running| run.instance == instance && run.is_trial;
-                if self.turns.is_none() && self.running.iter().any(tries) {
-                    return self.again(number);
+                // An instance probes one suspect at a time, so that each runs alone
+                // as often as possible.
+                let is_own_probe = |run: &Running| run.instance == instance && run.is_probe;
+                if self.permits.is_none() && self.running.iter().any(is_own_probe) {
+                    return self.schedule_retry(number);
                 }
-                if self.turns.is_some() && since_ms < PROBE_DELAY_MS {
-                    return self.again(number);
+                if self.permits.is_some() && since_ms < PROBE_DELAY_MS {
+                    return self.schedule_retry(number);
                 }
                 let now = Time(self.now);
-                if let Some(turns) = &mut self.turns
-                    && !turns.try_acquire(now, "pool", &number.to_string())
+                if let Some(permits) = &mut self.permits
+                    && !permits.try_acquire(now, "pool", &number.to_string())
                 {
-                    return self.again(number);
+                    return self.schedule_retry(number);
                 }
                 let names: Vec<String> = up.iter().map(|at| format!("t{at}")).collect();
                 let names: Vec<&str> = names.iter().map(String::as_str).collect();
                 match probe_target(&names, since_ms) {
                     Some(name) => name[1..].parse().unwrap(),
                     None => {
-                        self.give_back(number);
-                        return self.again(number);
+                        self.release_permit(number);
+                        return self.schedule_retry(number);
                     }
                 }
             }
         };
-        let left = ends_left.unwrap_or(if verdict == Verdict::Suspect { 1 } else { 2 });
+        let left = sends_left.unwrap_or(if verdict == Verdict::Suspect { 1 } else { 2 });
         let until = self.now + RUN_MS;
-        let life = self.targets[target].life;
-        let run = Running { number, instance, target, life, until, is_trial, ends_left: left };
+        let incarnation = self.targets[target].incarnation;
+        let run =
+            Running { number, instance, target, incarnation, until, is_probe, sends_left: left };
         self.running.push(run);
     }
 
-    /// Targets for what nothing is known against.
-    fn open(&self, instance: usize, up: &[usize]) -> Vec<usize> {
-        let is_trying = self.instances[instance].has_pending_probe(self.now);
+    /// Returns the targets for requests that are not suspected.
+    fn unreserved_targets(&self, instance: usize, up: &[usize]) -> Vec<usize> {
+        let is_probing = self.instances[instance].has_pending_probe(self.now);
         let names: Vec<String> = up.iter().map(|at| format!("t{at}")).collect();
         let names: Vec<&str> = names.iter().map(String::as_str).collect();
-        let kept = probe_target(&names, 0).filter(|_| self.turns.is_some() && is_trying);
-        up.iter().copied().filter(|at| Some(format!("t{at}").as_str()) != kept).collect()
+        let reserved = probe_target(&names, 0).filter(|_| self.permits.is_some() && is_probing);
+        up.iter().copied().filter(|at| Some(format!("t{at}").as_str()) != reserved).collect()
     }
 
-    fn give_back(&mut self, number: u64) {
-        if let Some(turns) = &mut self.turns {
-            turns.release("pool", &number.to_string());
+    fn release_permit(&mut self, number: u64) {
+        if let Some(permits) = &mut self.permits {
+            permits.release("pool", &number.to_string());
         }
     }
 
-    /// An innocent request comes again, as scoring requests do, until it is
-    /// served.
-    fn again(&mut self, number: u64) {
-        if number >= self.culprits || self.persistent {
+    /// Schedules the retry of an innocent request, which like a scoring request
+    /// is retried until it is served, or of a persistent poison request.
+    fn schedule_retry(&mut self, number: u64) {
+        if number >= self.poison_count || self.persistent {
             let at = self.now + 100 + self.below(400) as u64;
             self.waiting.push(Waiting { number, at });
         }
@@ -220,79 +231,81 @@
         let now = self.now;
         let (done, left): (Vec<_>, Vec<_>) = self.running.drain(..).partition(|r| r.until <= now);
         self.running = left;
-        for one in done {
-            // What another culprit broke off meanwhile is not here any more.
-            if self.targets[one.target].up_at > now {
-                self.broke(one);
-            } else if one.number < self.culprits {
-                self.ends.entry(one.number).or_default().push(now);
-                self.targets[one.target].up_at = now + DOWN_MS;
-                let there = |other: &Running| other.target == one.target;
+        for run in done {
+            // Requests that another poison request interrupted in this step are
+            // no longer in `self.running`, but may be in `done`.
+            if self.targets[run.target].up_at > now {
+                self.interrupted(run);
+            } else if run.number < self.poison_count {
+                self.ends.entry(run.number).or_default().push(now);
+                self.targets[run.target].up_at = now + DOWN_MS;
+                let there = |other: &Running| other.target == run.target;
                 let (beside, left) = self.running.drain(..).partition(there);
                 self.running = left;
-                self.broke(one);
-                Vec::into_iter(beside).for_each(|other| self.broke(other));
-                self.targets[one.target].life += 1;
+                self.interrupted(run);
+                Vec::into_iter(beside).for_each(|other| self.interrupted(other));
+                self.targets[run.target].incarnation += 1;
             } else {
-                self.held.remove(&one.number);
-                self.give_back(one.number);
-                if self.instances[one.instance].record_answer(digest(one.number)) {
-                    self.tell(one.instance, digest(one.number));
+                self.held_since.remove(&run.number);
+                self.release_permit(run.number);
+                if self.instances[run.instance].record_answer(digest(run.number)) {
+                    self.broadcast(run.instance, digest(run.number));
                 }
             }
         }
     }
 
-    fn broke(&mut self, one: Running) {
-        let life = format!("t{}/{}", one.target, one.life);
-        let state = &mut self.instances[one.instance];
-        let is_news = match one.is_trial && self.turns.is_some() {
-            true => state.record_isolated_end(self.now, digest(one.number), &life),
-            false => state.record_target_end(self.now, digest(one.number), &life),
+    fn interrupted(&mut self, run: Running) {
+        let incarnation = format!("t{}/{}", run.target, run.incarnation);
+        let state = &mut self.instances[run.instance];
+        let is_new = match run.is_probe && self.permits.is_some() {
+            true => state.record_isolated_end(self.now, digest(run.number), &incarnation),
+            false => state.record_target_end(self.now, digest(run.number), &incarnation),
         };
-        if is_news {
-            self.tell(one.instance, digest(one.number));
+        if is_new {
+            self.broadcast(run.instance, digest(run.number));
         }
-        if one.ends_left > 1 {
-            self.send(one.number, Some(one.ends_left - 1));
+        if run.sends_left > 1 {
+            self.send(run.number, Some(run.sends_left - 1));
         } else {
-            self.again(one.number);
+            self.schedule_retry(run.number);
         }
     }
 }
 
-/// A schedule: culprits come at any instance now and then, others all the
-/// time. Returns the ends under each culprit.
-fn play(seed: u64, culprits: u64, targets: usize) -> BTreeMap<u64, Vec<u64>> {
-    play_world(world(seed, culprits, targets))
+/// Runs a schedule in which poison requests arrive now and then and innocent
+/// ones all the time, at any instance. Returns the ends under each poison
+/// request.
+fn simulate(seed: u64, poison_count: u64, targets: usize) -> BTreeMap<u64, Vec<u64>> {
+    simulate_world(world(seed, poison_count, targets))
 }
 
-fn world(seed: u64, culprits: u64, targets: usize) -> World {
+fn world(seed: u64, poison_count: u64, targets: usize) -> World {
     World {
         now: START_MS,
         instances: vec![State::default(); 5],
-        targets: vec![Target { life: 0, up_at: 0 }; targets],
+        targets: vec![Target { incarnation: 0, up_at: 0 }; targets],
         running: vec![],
         waiting: vec![],
-        said: vec![],
+        messages: vec![],
         ends: BTreeMap::new(),
-        culprits,
+        poison_count,
         persistent: false,
-        turns: None,
-        held: BTreeMap::new(),
-        too_long: BTreeSet::new(),
+        permits: None,
+        held_since: BTreeMap::new(),
+        held_too_long: BTreeSet::new(),
         random: SmallRng::seed_from_u64(seed),
     }
 }
 
-fn play_world(mut world: World) -> BTreeMap<u64, Vec<u64>> {
-    let culprits = world.culprits;
-    let mut next = culprits;
+fn simulate_world(mut world: World) -> BTreeMap<u64, Vec<u64>> {
+    let poison_count = world.poison_count;
+    let mut next = poison_count;
     if world.persistent {
-        (0..culprits).for_each(|culprit| world.again(culprit));
+        (0..poison_count).for_each(|poison| world.schedule_retry(poison));
     }
-    while world.now < START_MS + DAY_MS {
-        world.hear();
+    while world.now < START_MS + SCHEDULE_MS {
+        world.deliver_messages();
         world.finish();
         let now = world.now;
         let (due, later): (Vec<_>, Vec<_>) = world.waiting.drain(..).partition(|w| w.at <= now);
@@ -302,51 +315,62 @@
             world.send(next, None);
             next += 1;
         }
-        for culprit in 0..culprits {
+        for poison in 0..poison_count {
             if !world.persistent && world.below(60) == 0 {
-                world.send(culprit, None);
+                world.send(poison, None);
             }
         }
         world.now += STEP_MS;
     }
-    let too_long = world.too_long.len() as u64;
-    assert!(too_long <= REFUSED + next / REFUSED_OF, "{too_long} of {next} held back too long");
+    let held_too_long = world.held_too_long.len() as u64;
+    assert!(
+        held_too_long <= MAX_HELD_TOO_LONG + next / ONE_HELD_TOO_LONG_IN,
+        "{held_too_long} of {next} requests held back too long"
+    );
     world.ends
 }
 
 fn check(ends: &BTreeMap<u64, Vec<u64>>, seed: u64) {
-    for (culprit, ends) in ends {
-        let Some(known) = ends.get(TARGET_END_LIMIT as usize - 1).map(|third| third + CONTACT_MS)
+    for (poison, ends) in ends {
+        let Some(known_at) =
+            ends.get(TARGET_END_LIMIT as usize - 1).map(|third| third + PROPAGATION_MS)
         else {
             continue;
         };
-        let after = ends.iter().filter(|at| **at > known).count() as u64;
+        let after = ends.iter().filter(|at| **at > known_at).count() as u64;
         let all = ends.len();
-        assert!(after <= AFTER, "seed {seed}: {culprit} ended {all}, {after} too late");
+        assert!(
+            after <= MAX_LATE_ENDS,
+            "seed {seed}: poison request {poison} ended {all} targets, {after} of them after it was known"
+        );
     }
 }
 
 #[test]
-fn one_culprit_is_found_and_nobody_else_held_back() {
+fn one_poison_request_is_held_and_no_other() {
     for seed in 0..SCHEDULES {
         for targets in [2, 3, 12] {
-            let ends = play(seed, 1, targets);
+            let ends = simulate(seed, 1, targets);
             check(&ends, seed);
-            assert!(ends[&0].len() >= TARGET_END_LIMIT as usize, "seed {seed}: held back too soon");
+            assert!(
+                ends[&0].len() >= TARGET_END_LIMIT as usize,
+                "seed {seed}: poison request held back too soon"
+            );
         }
     }
 }
 
 #[test]
-fn several_culprits_are_found_and_nobody_else_held_back_for_long() {
+fn several_poison_requests_are_held_and_others_only_briefly() {
     for seed in 0..SCHEDULES {
-        check(&play(seed, 3, 6), seed);
+        check(&simulate(seed, 3, 6), seed);
     }
 }
 
-/// Scoring requests come again a few hundred milliseconds after each failure,
-/// all of them, for as long as their samples live. One that was held back was
-/// let go five seconds later, as others had been at as many ends by then:
+/// Scoring requests are retried a few hundred milliseconds after each failure
+/// for as long as their samples live. A poison request that was held back was
+/// released five seconds later, because by then other requests had been present
+/// at as many ends:
 ///
 /// ```text
 /// 16.99 target i-526f19f19a has ended while 6e2acfa1… was there: Held(1200000)
@@ -354,29 +378,33 @@
 /// 26.12 request e9904f68… (6e2acfa1…) at i-e52d0b0a78: exchange broke: connection closed …
 /// ```
 #[test]
-fn culprits_that_come_again_and_again_together_are_found_too() {
+fn poison_requests_retried_together_are_held() {
     for seed in 0..SCHEDULES {
-        for (culprits, targets) in [(2, 3), (6, 3), (12, 3), (12, 6)] {
-            let world = World { persistent: true, ..world(seed, culprits, targets) };
-            check(&play_world(world), seed);
+        for (poison_count, targets) in [(2, 3), (6, 3), (12, 3), (12, 6)] {
+            let world = World { persistent: true, ..world(seed, poison_count, targets) };
+            check(&simulate_world(world), seed);
         }
     }
 }
 
-/// With suspects tried side by side a dozen culprits explained each other's
-/// ends, and one that had ended three targets was let go two seconds later.
+/// When suspects were probed concurrently, a dozen poison requests accounted for
+/// each other's ends, and one that had ended three targets was released two
+/// seconds later. Isolated probes prevent this.
 #[test]
 fn culprits_that_are_tried_alone_end_no_target_after_the_third() {
     for seed in 0..SCHEDULES {
-        for (culprits, targets) in [(1, 3), (2, 3), (6, 3), (12, 3), (12, 6), (40, 3)] {
-            let turns = Some(Permits::default());
-            let ends =
-                play_world(World { persistent: true, turns, ..world(seed, culprits, targets) });
-            for (culprit, ends) in ends {
+        for (poison_count, targets) in [(1, 3), (2, 3), (6, 3), (12, 3), (12, 6), (40, 3)] {
+            let permits = Some(Permits::default());
+            let ends = simulate_world(World {
+                persistent: true,
+                permits,
+                ..world(seed, poison_count, targets)
+            });
+            for (poison, ends) in ends {
                 let all = ends.len();
                 assert!(
                     all <= TARGET_END_LIMIT as usize,
-                    "seed {seed}: {culprit} of {culprits} ended {all}"
+                    "seed {seed}: poison request {poison} of {poison_count} ended {all} targets"
                 );
             }
         }
@@ -384,109 +412,116 @@
 }
 
 #[test]
-fn one_that_was_alone_at_an_end_is_held_back_and_what_was_beside_it_is_not() {
-    let (culprit, beside) = (digest(0), digest(1));
+fn a_request_alone_at_an_end_is_held_and_its_neighbour_is_not() {
+    let (poison, beside) = (digest(0), digest(1));
     let mut state = State::default();
-    for life in ["a/1", "b/1"] {
-        state.record_target_end(START_MS, culprit, life);
-        state.record_target_end(START_MS, beside, life);
+    for incarnation in ["a/1", "b/1"] {
+        state.record_target_end(START_MS, poison, incarnation);
+        state.record_target_end(START_MS, beside, incarnation);
     }
-    state.record_isolated_end(START_MS, culprit, "c/1");
-    assert!(matches!(state.verdict(START_MS, culprit), Verdict::Held(ms) if ms >= 600_000));
+    state.record_isolated_end(START_MS, poison, "c/1");
+    assert!(matches!(state.verdict(START_MS, poison), Verdict::Held(ms) if ms >= 600_000));
     assert_eq!(state.verdict(START_MS, beside), Verdict::Suspect);
-    // Whoever reads of it judges alike; that another one was there too, which
-    // its sender did not know, speaks for it.
+    // An instance that reads the record comes to the same verdict. If it knows
+    // of another request at the same end, which the sender did not, the verdict
+    // is milder.
     let mut other = State::default();
-    other.read(START_MS, culprit, &state.record(culprit).unwrap()).unwrap();
-    assert_eq!(other.verdict(START_MS, culprit), state.verdict(START_MS, culprit));
-    for life in ["a/1", "b/1", "c/1"] {
-        other.record_target_end(START_MS, beside, life);
+    other.read(START_MS, poison, &state.record(poison).unwrap()).unwrap();
+    assert_eq!(other.verdict(START_MS, poison), state.verdict(START_MS, poison));
+    for incarnation in ["a/1", "b/1", "c/1"] {
+        other.record_target_end(START_MS, beside, incarnation);
     }
-    assert!(!matches!(other.verdict(START_MS, culprit), Verdict::Held(ms) if ms >= 600_000));
+    assert!(!matches!(other.verdict(START_MS, poison), Verdict::Held(ms) if ms >= 600_000));
 }
 
 #[test]
-fn who_is_not_held_back_any_more_needs_to_end_one_target_only() {
-    let culprit = digest(0);
+fn after_a_hold_expires_one_more_end_doubles_it() {
+    let poison = digest(0);
     let mut state = State::default();
-    for life in ["a/1", "b/1", "c/1"] {
-        assert!(state.record_target_end(START_MS, culprit, life));
+    for incarnation in ["a/1", "b/1", "c/1"] {
+        assert!(state.record_target_end(START_MS, poison, incarnation));
     }
-    let Verdict::Held(first_ms) = state.verdict(START_MS, culprit) else { panic!("not held") };
+    let Verdict::Held(first_ms) = state.verdict(START_MS, poison) else {
+        panic!("expected the request to be held")
+    };
     let later = START_MS + first_ms;
-    assert_eq!(state.verdict(later, culprit), Verdict::Suspect);
-    state.record_target_end(later, culprit, "a/2");
-    assert_eq!(state.verdict(later, culprit), Verdict::Held(2 * first_ms));
+    assert_eq!(state.verdict(later, poison), Verdict::Suspect);
+    state.record_target_end(later, poison, "a/2");
+    assert_eq!(state.verdict(later, poison), Verdict::Held(2 * first_ms));
 }
 
 #[test]
-fn twins_that_always_come_together_are_held_back_beyond_doubt() {
-    let twins = [digest(0), digest(1)];
+fn two_requests_always_together_are_both_held() {
+    let pair = [digest(0), digest(1)];
     let mut state = State::default();
-    for end in 1..=BEYOND_DOUBT {
-        for twin in twins {
-            assert_eq!(state.verdict(START_MS, twin) == Verdict::Free, end == 1);
-            state.record_target_end(START_MS, twin, &format!("a/{end}"));
+    for end in 1..=ENDS_TO_HOLD_PAIR {
+        for digest in pair {
+            assert_eq!(state.verdict(START_MS, digest) == Verdict::Free, end == 1);
+            state.record_target_end(START_MS, digest, &format!("a/{end}"));
         }
     }
-    for twin in twins {
-        assert!(matches!(state.verdict(START_MS, twin), Verdict::Held(_)));
+    for digest in pair {
+        assert!(matches!(state.verdict(START_MS, digest), Verdict::Held(_)));
     }
 }
 
 #[test]
-fn one_end_counts_once_however_often_and_by_whomever_it_is_told() {
-    let culprit = digest(0);
+fn an_end_reported_repeatedly_counts_once() {
+    let poison = digest(0);
     let (mut here, mut there) = (State::default(), State::default());
-    here.record_target_end(START_MS, culprit, "a/1");
-    there.record_target_end(START_MS + 5, culprit, "a/1");
-    there.record_target_end(START_MS + 6, culprit, "b/1");
+    here.record_target_end(START_MS, poison, "a/1");
+    there.record_target_end(START_MS + 5, poison, "a/1");
+    there.record_target_end(START_MS + 6, poison, "b/1");
     for _ in 0..4 {
-        let (ours, theirs) = (here.record(culprit).unwrap(), there.record(culprit).unwrap());
-        here.read(START_MS + 10, culprit, &theirs).unwrap();
-        there.read(START_MS + 10, culprit, &ours).unwrap();
+        let (ours, theirs) = (here.record(poison).unwrap(), there.record(poison).unwrap());
+        here.read(START_MS + 10, poison, &theirs).unwrap();
+        there.read(START_MS + 10, poison, &ours).unwrap();
     }
     assert_eq!(here, there);
-    assert_eq!(here.verdict(START_MS + 10, culprit), Verdict::Suspect);
+    assert_eq!(here.verdict(START_MS + 10, poison), Verdict::Suspect);
 }
 
-/// A target that was back before its new entry was read ended under a fourth
-/// send: its second end was taken for the first.
+/// Guards against counting two ends of a target as one. A target that restarted
+/// before its new membership entry was read ended a second time under the same
+/// incarnation, so that it took a fourth send to hold the request back.
 #[test]
-fn a_target_that_ends_again_later_has_started_in_between() {
-    let culprit = digest(0);
+fn a_later_end_of_the_same_incarnation_counts_again() {
+    let poison = digest(0);
     let mut state = State::default();
-    assert!(state.record_target_end(START_MS, culprit, "a/1"));
-    assert!(!state.record_target_end(START_MS + 200, culprit, "a/1"), "two sends saw one end");
-    assert!(state.record_target_end(START_MS + 3_000, culprit, "a/1"));
-    assert!(state.record_target_end(START_MS + 6_000, culprit, "a/1"));
-    assert!(matches!(state.verdict(START_MS + 6_000, culprit), Verdict::Held(_)));
+    assert!(state.record_target_end(START_MS, poison, "a/1"));
+    assert!(
+        !state.record_target_end(START_MS + 200, poison, "a/1"),
+        "two sends that saw the same end count once"
+    );
+    assert!(state.record_target_end(START_MS + 3_000, poison, "a/1"));
+    assert!(state.record_target_end(START_MS + 6_000, poison, "a/1"));
+    assert!(matches!(state.verdict(START_MS + 6_000, poison), Verdict::Held(_)));
 }
 
 #[test]
-fn ends_beyond_those_that_are_remembered_are_not_counted_again_by_telling() {
-    let culprit = digest(0);
+fn exchanging_records_does_not_recount_forgotten_ends() {
+    let poison = digest(0);
     let (mut here, mut there) = (State::default(), State::default());
     for end in 0..20 {
-        here.record_target_end(START_MS, culprit, &format!("a/{end}"));
-        there.record_target_end(START_MS, culprit, &format!("b/{end}"));
+        here.record_target_end(START_MS, poison, &format!("a/{end}"));
+        there.record_target_end(START_MS, poison, &format!("b/{end}"));
     }
-    let before = here.verdict(START_MS, culprit);
+    let before = here.verdict(START_MS, poison);
     let mut exchange = || {
-        let (ours, theirs) = (here.record(culprit).unwrap(), there.record(culprit).unwrap());
-        here.read(START_MS, culprit, &theirs).unwrap();
-        there.read(START_MS, culprit, &ours).unwrap();
-        here.record(culprit).unwrap()
+        let (ours, theirs) = (here.record(poison).unwrap(), there.record(poison).unwrap());
+        here.read(START_MS, poison, &theirs).unwrap();
+        there.read(START_MS, poison, &ours).unwrap();
+        here.record(poison).unwrap()
     };
-    let told_once = exchange();
+    let after_one_exchange = exchange();
     for _ in 0..10 {
-        assert_eq!(exchange(), told_once);
+        assert_eq!(exchange(), after_one_exchange);
     }
-    assert_eq!(here.verdict(START_MS, culprit), before);
+    assert_eq!(here.verdict(START_MS, poison), before);
 }
 
 #[test]
-fn what_cannot_be_read_changes_nothing() {
+fn malformed_records_change_nothing() {
     let mut state = State::default();
     for record in [&b"\xff\xff"[..], b"", b"\x0a\x00\xff"] {
         assert!(state.read(START_MS, digest(0), record).is_err(), "{record:?}");
@@ -497,10 +532,10 @@
 }
 
 #[test]
-fn the_state_is_bounded_and_forgets_the_least_first() {
+fn the_state_is_bounded_and_evicts_requests_with_fewest_ends() {
     let mut state = State::default();
-    for life in ["a/1", "b/1", "c/1"] {
-        state.record_target_end(START_MS, digest(0), life);
+    for incarnation in ["a/1", "b/1", "c/1"] {
+        state.record_target_end(START_MS, digest(0), incarnation);
     }
     for number in 1..10_000 {
         state.record_target_end(START_MS + number, digest(number), &format!("t/{number}"));
