--- a/crates/hollywell/tests/reducer/calls.rs
+++ b/crates/hollywell/tests/reducer/calls.rs
@@ -151,7 +151,7 @@
     let dispatch = Dispatch(77);
     let effects = end(&mut state, Time(1_001), dispatch, End::Answered, false);
     assert_eq!(effects, [Effect::Forget { dispatch }]);
-    let complete = SampleEnd::Whole(vec![1]);
+    let complete = SampleEnd::Complete(vec![1]);
     let effects = state.step(Time(1_002), &Event::SampleEnded { dispatch, end: complete });
     assert_eq!(effects, [Effect::Forget { dispatch }]);
 }
--- a/crates/hollywell/tests/reducer/samples.rs
+++ b/crates/hollywell/tests/reducer/samples.rs
@@ -59,7 +59,7 @@
 fn a_tightened_staleness_bound_applies_at_delivery() {
     let mut state = rollout_state();
     let started = generated(&state.step(Time(1_003), &open_step(5)));
-    let complete = |dispatch| Event::SampleEnded { dispatch, end: SampleEnd::Whole(vec![4, 5]) };
+    let complete = |dispatch| Event::SampleEnded { dispatch, end: SampleEnd::Complete(vec![4, 5]) };
     assert_eq!(
         delivered(&state.step(Time(1_004), &complete(started[0]))),
         1,
@@ -74,7 +74,7 @@
 fn a_duplicate_sample_is_not_delivered() {
     let mut state = rollout_state();
     let started = generated(&state.step(Time(1_003), &open_step(4)));
-    let complete = Event::SampleEnded { dispatch: started[0], end: SampleEnd::Whole(vec![4]) };
+    let complete = Event::SampleEnded { dispatch: started[0], end: SampleEnd::Complete(vec![4]) };
     assert_eq!(delivered(&state.step(Time(1_004), &complete)), 1);
     assert_eq!(delivered(&state.step(Time(1_005), &complete)), 0);
 }
@@ -83,7 +83,7 @@
 fn a_sample_without_versions_is_generated_again() {
     let mut state = rollout_state();
     let started = generated(&state.step(Time(1_003), &open_step(4)));
-    let unnamed = Event::SampleEnded { dispatch: started[0], end: SampleEnd::Whole(vec![]) };
+    let unnamed = Event::SampleEnded { dispatch: started[0], end: SampleEnd::Complete(vec![]) };
     let effects = state.step(Time(1_004), &unnamed);
     assert_eq!((delivered(&effects), generated(&effects).len()), (0, 1));
 }
@@ -94,7 +94,7 @@
     let started = generated(&state.step(Time(1_003), &open_step(4)));
     state.step(Time(1_004), &Event::Drain);
     for (number, dispatch) in started.iter().enumerate() {
-        let complete = Event::SampleEnded { dispatch: *dispatch, end: SampleEnd::Whole(vec![4]) };
+        let complete = Event::SampleEnded { dispatch: *dispatch, end: SampleEnd::Complete(vec![4]) };
         let effects = state.step(Time(1_005 + number as u64), &complete);
         assert_eq!(delivered(&effects), 1, "samples in flight are delivered while draining");
         let ended = |effect: &Effect| match effect {
@@ -140,7 +140,7 @@
     }
     let mut running = generated(&state.step(Time(1_003), &open_step(4)));
     let last = running.pop().expect("two samples were started");
-    let complete = |dispatch| Event::SampleEnded { dispatch, end: SampleEnd::Whole(vec![4]) };
+    let complete = |dispatch| Event::SampleEnded { dispatch, end: SampleEnd::Complete(vec![4]) };
     let next = generated(&state.step(Time(1_103), &complete(running[0])));
     let early = state.step(Time(1_150), &Event::Tick);
     assert_eq!(
@@ -168,12 +168,12 @@
     let second = generated(&hedge)[0];
     let effects = state.step(
         Time(1_300),
-        &Event::SampleEnded { dispatch: second, end: SampleEnd::Whole(vec![4]) },
+        &Event::SampleEnded { dispatch: second, end: SampleEnd::Complete(vec![4]) },
     );
     assert_eq!(delivered(&effects), 1);
     assert!(effects.contains(&Effect::Cancel { dispatch: straggler }));
     // The cancelled stream still completes, but after the hedge was delivered.
-    let late = Event::SampleEnded { dispatch: straggler, end: SampleEnd::Whole(vec![4]) };
+    let late = Event::SampleEnded { dispatch: straggler, end: SampleEnd::Complete(vec![4]) };
     assert_eq!(delivered(&state.step(Time(1_301), &late)), 0);
 }
 
@@ -219,7 +219,7 @@
     let running = generated(&state.step(Time(1_003), &opened));
     assert_eq!(running.len(), 10);
     for dispatch in &running[..7] {
-        let complete = SampleEnd::Whole(vec![4]);
+        let complete = SampleEnd::Complete(vec![4]);
         state.step(Time(1_103), &Event::SampleEnded { dispatch: *dispatch, end: complete });
     }
     // Three samples straggle; the budget, a tenth of ten, allows one hedge.
