--- a/crates/hollywell/tests/interleavings/checks.rs
+++ b/crates/hollywell/tests/interleavings/checks.rs
@@ -126,7 +126,7 @@
             Received::Closed => {}
             Received::Good => self.samples += 1,
             Received::Twice => {
-                self.violate(Fault::Twice, now, String::from("sample delivered twice"))
+                self.violate(Fault::Twice, now, String::from("sample delivered twice"));
             }
             Received::Stale => self.violate(
                 Fault::Stale,
