--- a/crates/hollywell/tests/batch.rs
+++ b/crates/hollywell/tests/batch.rs
@@ -1,5 +1,5 @@
-//! The fold of batch jobs: the same positions at every reader, whatever was
-//! read when, how often, and from which kind of read.
+//! The index of batch jobs, folded from records: every reader gets the same
+//! result positions, regardless of duplicates, compaction and read order.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -13,9 +13,9 @@
 };
 use prost::Message as _;
 
-/// Schedules of each generated test, with fixed seeds.
+/// Number of generated schedules, with fixed seeds.
 const SCHEDULES: u64 = 2_000;
-/// Random bytes of a schedule.
+/// Size of a schedule in random bytes.
 const SIZE: u64 = 600;
 
 fn submission(samples: usize) -> Submission {
@@ -28,7 +28,7 @@
     Submission { samples: (0..samples).map(sample).collect(), ..Submission::default() }
 }
 
-fn submitted(samples: usize) -> Vec<(String, Bytes)> {
+fn manifest_records(samples: usize) -> Vec<(String, Bytes)> {
     let (metas, _) = bundle(&submission(samples), 4_096);
     vec![manifest_record("j", &Manifest { samples: metas, ..Manifest::default() })]
 }
@@ -44,16 +44,16 @@
 }
 
 #[test]
-fn two_heads_of_one_job_name_the_same_requests_to_those_who_read_both_or_one() {
-    let head = |key: &str, at_ms| {
+fn a_job_s_newest_manifest_names_its_requests() {
+    let manifest = |key: &str, at_ms| {
         let bundles = vec![TextRef { part: 0, offset: 0, key: key.into(), len: 10 }];
         let (samples, _) = bundle(&submission(1), 4_096);
         manifest_record("j", &Manifest { at_ms, samples, bundles, ..Manifest::default() })
     };
-    let records = log(vec![head("j|b|w1", 5), head("j|b|w2", 9)]);
+    let records = log(vec![manifest("j|b|w1", 5), manifest("j|b|w2", 9)]);
     let (both, one) = (fold(&records), fold(&records[1..]));
     assert_eq!(both.jobs["j"].manifest.bundles, one.jobs["j"].manifest.bundles);
-    assert_eq!(both.jobs["j"].manifest.at_ms, 5, "it is as old as the first");
+    assert_eq!(both.jobs["j"].manifest.at_ms, 5, "the job keeps the time of its first manifest");
 }
 
 fn log(records: Vec<(String, Bytes)>) -> Vec<Record> {
@@ -77,7 +77,7 @@
     index.jobs["j"].results.iter().map(|listed| listed.value.clone()).collect()
 }
 
-/// What is left after a compaction: the newest record of each key, by offset.
+/// Compacts a log: keeps the newest record of each key, in order of offset.
 fn compacted(records: &[Record]) -> Vec<Record> {
     let newest: BTreeMap<&str, &Record> =
         records.iter().map(|record| (record.key.as_str(), record)).collect();
@@ -87,11 +87,11 @@
 }
 
 #[test]
-fn positions_survive_duplicates_repeated_submissions_and_compaction() {
+fn positions_survive_duplicates_resubmission_and_compaction() {
     for seed in 0..SCHEDULES {
         arbtest(|u| {
             let samples = u.int_in_range(1..=5usize)?;
-            let submission = submitted(samples);
+            let submission = manifest_records(samples);
             let mut records = submission.clone();
             let mut writer = 0;
             for _ in 0..u.int_in_range(0..=12usize)? {
@@ -110,16 +110,16 @@
                 }
             }
             let records = log(records);
-            let whole = fold(&records);
-            assert_eq!(listed(&whole), listed(&fold(&compacted(&records))), "{records:?}");
-            // A reader that saw a part before the history was forgotten.
-            let cut = u.int_in_range(0..=records.len())?;
-            let mut late = fold(&records[..cut]);
-            for record in compacted(&records).iter().filter(|r| r.offset >= cut as u64) {
+            let complete = fold(&records);
+            assert_eq!(listed(&complete), listed(&fold(&compacted(&records))), "{records:?}");
+            // A reader that read a prefix before the log was compacted.
+            let prefix = u.int_in_range(0..=records.len())?;
+            let mut late = fold(&records[..prefix]);
+            for record in compacted(&records).iter().filter(|r| r.offset >= prefix as u64) {
                 late.apply(record).unwrap();
             }
             if late.jobs.contains_key("j") {
-                assert_eq!(listed(&whole), listed(&late), "cut at {cut}: {records:?}");
+                assert_eq!(listed(&complete), listed(&late), "prefix of {prefix}: {records:?}");
             }
             Ok(())
         })
@@ -129,51 +129,51 @@
 }
 
 #[test]
-fn a_reader_knows_when_more_results_complete_a_group() {
-    let mut records = submitted(4);
+fn a_read_is_answered_when_a_group_completes() {
+    let mut records = manifest_records(4);
     for sample in [0, 2, 1, 3] {
         records.push(outcome_record("j", "a", &outcome(sample, "text")));
     }
     let worth = |results: usize, after: usize| {
         fold(&log(records[..=results].to_vec())).jobs["j"].is_worth_answering(after)
     };
-    assert!(!worth(2, 0), "two halves of groups are no group");
-    assert!(worth(3, 0), "s0 and s1 are one");
-    assert!(worth(3, 2), "its last sample is yet to be read");
-    assert!(!worth(3, 3), "the reader has it already");
+    assert!(!worth(2, 0), "two incomplete groups");
+    assert!(worth(3, 0), "s0 and s1 complete a group");
+    assert!(worth(3, 2), "the group's last sample has not been read");
+    assert!(!worth(3, 3), "the reader has the complete group already");
     assert!(worth(4, 3));
 }
 
 #[test]
-fn a_read_is_worth_an_answer_at_half_of_the_groups_that_are_missing() {
+fn a_read_waits_for_half_of_the_missing_groups() {
     let (samples, _) = bundle(&submission(16), 4_096);
-    let head = Manifest { samples, groups_wanted: 6, ..Manifest::default() };
+    let manifest = Manifest { samples, groups_wanted: 6, ..Manifest::default() };
     let worth = |groups: usize, after: usize| {
-        let mut records = vec![manifest_record("j", &head)];
+        let mut records = vec![manifest_record("j", &manifest)];
         let results = (0..groups * 2).map(|n| outcome_record("j", "a", &outcome(n, "text")));
         records.extend(results);
         fold(&log(records)).jobs["j"].is_worth_answering(after)
     };
-    assert_eq!((worth(2, 0), worth(3, 0)), (false, true), "six are missing");
-    assert_eq!((worth(4, 6), worth(5, 6)), (false, true), "three are missing");
-    assert_eq!((worth(5, 10), worth(6, 10)), (false, true), "one is missing");
-    assert!(worth(7, 12), "more than are wanted are no reason to wait");
+    assert_eq!((worth(2, 0), worth(3, 0)), (false, true), "six groups are missing");
+    assert_eq!((worth(4, 6), worth(5, 6)), (false, true), "three groups are missing");
+    assert_eq!((worth(5, 10), worth(6, 10)), (false, true), "one group is missing");
+    assert!(worth(7, 12), "a read does not wait for groups beyond those wanted");
 }
 
 #[test]
-fn a_clock_that_is_seconds_ahead_gives_no_sample_up() {
-    // Submitted by a clock 2.4 s behind, looked at by one 2.4 s ahead.
+fn clock_skew_of_seconds_does_not_end_retention_early() {
+    // Submitted by a clock that is 2.4 s behind, checked by one 2.4 s ahead.
     let (submitted, kept) = (100_000, 40_000);
     assert!(retention_left_ms(kept, submitted - 2_400, submitted + kept - 1 + 2_400) > 0);
     assert_eq!(
         retention_left_ms(kept, submitted, submitted + kept + 60_000),
         0,
-        "but not for good"
+        "retention has ended despite clock skew"
     );
 }
 
 #[test]
-fn a_sample_without_a_group_is_a_group_of_its_own() {
+fn a_sample_without_a_group_forms_its_own() {
     let mut submission = submission(3);
     for sample in &mut submission.samples {
         sample.group = String::new();
@@ -185,8 +185,8 @@
 }
 
 #[test]
-fn the_first_of_two_results_stands_and_the_second_changes_nothing() {
-    let mut records = submitted(2);
+fn the_first_result_of_a_sample_wins() {
+    let mut records = manifest_records(2);
     records.push(outcome_record("j", "a", &outcome(1, "first")));
     records.push(outcome_record("j", "b", &outcome(1, "second")));
     let index = fold(&log(records));
@@ -196,7 +196,7 @@
 }
 
 #[test]
-fn samples_of_a_group_lie_together_in_bundles_that_fit_a_record() {
+fn a_group_s_samples_share_bundles_within_the_record_limit() {
     let body = Bytes::from(vec![7; 1_000]);
     let mut submission = submission(8);
     for sample in &mut submission.samples {
@@ -205,16 +205,16 @@
     }
     let (metas, bundles) = bundle(&submission, 3_500);
     assert!(bundles.iter().all(|bundle| bundle.encoded_len() <= 3_500));
-    assert_eq!(bundles.len(), 3, "five of one group need two, three of the other one");
+    assert_eq!(bundles.len(), 3, "five samples of group a need two bundles, three of group b one");
     for (meta, sample) in metas.iter().zip(&submission.samples) {
         assert_eq!(bundles[meta.bundle as usize].samples[meta.at as usize], *sample);
     }
 }
 
 #[test]
-fn results_and_ends_that_were_read_before_their_job_are_not_lost() {
+fn results_and_ends_read_before_the_manifest_are_kept() {
     let mut records = vec![outcome_record("j", "a", &outcome(1, "first")), end_record("j")];
-    records.extend(submitted(2));
+    records.extend(manifest_records(2));
     let records = log(records);
     let mut index = fold(&records[..2]);
     let changes = index.apply(&records[2]).unwrap();
@@ -227,8 +227,8 @@
 }
 
 #[test]
-fn an_end_is_told_once_and_unfinished_texts_stay_as_they_are() {
-    let mut records = submitted(2);
+fn an_end_is_reported_once_and_freezes_partial_texts() {
+    let mut records = manifest_records(2);
     records.push(partial_record("j", "s0", &partial()));
     records.push(end_record("j"));
     records.push(end_record("j"));
@@ -245,8 +245,8 @@
 }
 
 #[test]
-fn records_that_make_no_sense_are_skipped_with_their_key() {
-    let mut index = fold(&log(submitted(1)));
+fn malformed_records_are_rejected_with_their_key() {
+    let mut index = fold(&log(manifest_records(1)));
     for key in ["j", "j|x", "j|r|a|nobody", "k|s", "j|p|nobody"] {
         let record = Record { offset: 9, key: key.into(), value: Some(Bytes::from_static(b"v")) };
         assert_eq!(index.apply(&record).unwrap_err().key, key);
--- a/crates/hollywell/tests/dispatch.rs
+++ b/crates/hollywell/tests/dispatch.rs
@@ -1,5 +1,5 @@
-//! What runs where: cases, and schedules in which every sample of every
-//! member set is run by somebody.
+//! Dispatch of samples to engines: single cases, and generated membership
+//! changes after which every sample has exactly one instance that runs it.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -33,7 +33,7 @@
     }
 }
 
-fn work(job: &str, hints: &[u32]) -> JobSpec {
+fn job_spec(job: &str, hints: &[u32]) -> JobSpec {
     let item = |(n, tokens): (usize, &u32)| SampleSpec {
         group: format!("g{n}"),
         tokens: *tokens,
@@ -69,10 +69,10 @@
 }
 
 #[test]
-fn an_instance_that_has_not_read_who_lives_runs_nothing() {
+fn nothing_starts_before_the_members_are_known() {
     let mut world = world(&[target("a", 1)]);
     world.state = State::new("me");
-    let opened = Event::Opened(work("j", &[10, 20]));
+    let opened = Event::Opened(job_spec("j", &[10, 20]));
     assert_eq!(world.state.step(Time(1), &opened, &world.fleet, &mut world.observations), []);
     let members = Event::Members(vec!["me".into()]);
     let started = world.state.step(Time(2), &members, &world.fleet, &mut world.observations);
@@ -95,14 +95,14 @@
     effects.iter().filter_map(start).collect()
 }
 
-fn slot(job: &str, at: usize) -> SampleId {
+fn sample_id(job: &str, at: usize) -> SampleId {
     SampleId { job: job.into(), index: at }
 }
 
 #[test]
-fn the_longest_samples_start_first_and_a_listed_one_never() {
+fn longest_samples_start_first_and_finished_ones_never() {
     let mut world = world(&[target("a", 1)]);
-    let mut job = work("j", &[100, 900, 500]);
+    let mut job = job_spec("j", &[100, 900, 500]);
     job.done[2] = true;
     let order: Vec<usize> =
         starts(&world.step(10, &Event::Opened(job))).iter().map(|start| start.1).collect();
@@ -110,64 +110,67 @@
 }
 
 #[test]
-fn an_engine_with_an_old_version_gets_nothing() {
+fn an_engine_with_an_old_version_gets_no_samples() {
     let mut world = world(&[target("old", 1), target("new", 2)]);
-    let job = JobSpec { min_version: 2, ..work("j", &[100, 100]) };
+    let job = JobSpec { min_version: 2, ..job_spec("j", &[100, 100]) };
     let started = starts(&world.step(10, &Event::Opened(job)));
     assert!(started.iter().all(|start| start.2 == "new"), "{started:?}");
 }
 
 #[test]
-fn nothing_starts_on_a_partition_that_is_out_of_date() {
+fn nothing_starts_while_a_partition_is_stale() {
     let mut world = world(&[target("a", 1)]);
     world.step(5, &Event::Stale { part: 0, stale: true });
-    assert!(starts(&world.step(10, &Event::Opened(work("j", &[100])))).is_empty());
+    assert!(starts(&world.step(10, &Event::Opened(job_spec("j", &[100])))).is_empty());
     let effects = world.step(20, &Event::Stale { part: 0, stale: false });
-    assert_eq!(starts(&effects).len(), 1, "it starts once the partition was read");
+    assert_eq!(starts(&effects).len(), 1, "the sample starts once the partition is up to date");
 }
 
 #[test]
-fn an_ended_job_is_cancelled_and_its_late_ends_change_nothing() {
+fn an_ended_job_is_cancelled_and_late_run_ends_are_ignored() {
     let mut world = world(&[target("a", 1)]);
-    let run = starts(&world.step(10, &Event::Opened(work("j", &[100]))))[0].0;
+    let run = starts(&world.step(10, &Event::Opened(job_spec("j", &[100]))))[0].0;
     let effects = world.step(20, &Event::Closed("j".into()));
     assert!(effects.contains(&Effect::Cancel(run)), "{effects:?}");
     assert!(world.step(30, &Event::Ended { run, end: End::Whole }).is_empty());
 }
 
 #[test]
-fn a_whole_text_is_scored_and_then_delivered_once() {
+fn a_complete_text_is_scored_and_delivered_once() {
     let mut world = world(&[target("a", 1)]);
-    let run = starts(&world.step(10, &Event::Opened(work("j", &[100]))))[0].0;
+    let run = starts(&world.step(10, &Event::Opened(job_spec("j", &[100]))))[0].0;
     let effects = world.step(20, &Event::Ended { run, end: End::Whole });
-    assert_eq!(effects, [Effect::Score(slot("j", 0))]);
-    assert_eq!(world.step(30, &Event::Scored(slot("j", 0))), [Effect::Deliver(slot("j", 0))]);
-    assert!(world.step(40, &Event::Scored(slot("j", 0))).is_empty());
+    assert_eq!(effects, [Effect::Score(sample_id("j", 0))]);
+    assert_eq!(
+        world.step(30, &Event::Scored(sample_id("j", 0))),
+        [Effect::Deliver(sample_id("j", 0))]
+    );
+    assert!(world.step(40, &Event::Scored(sample_id("j", 0))).is_empty());
 }
 
 #[test]
-fn failures_count_until_a_sample_may_be_given_up_and_refusals_do_not() {
+fn only_failures_count_towards_giving_up_a_sample() {
     let mut world = world(&[target("a", 1), target("b", 1)]);
     let mut now = 10;
-    let mut effects = world.step(now, &Event::Opened(work("j", &[100])));
+    let mut effects = world.step(now, &Event::Opened(job_spec("j", &[100])));
     for end in [End::Full, End::Failed, End::Misdirected, End::Failed, End::Failed] {
         let mut started = starts(&effects);
         while started.is_empty() {
             now += 50;
             started = starts(&world.step(now, &Event::Tick));
-            assert!(now < 5_000, "it starts again");
+            assert!(now < 5_000, "expected the sample to start again within 5 s");
         }
         effects = world.step(now, &Event::Ended { run: started[0].0, end });
     }
-    assert_eq!(effects, [Effect::GiveUp(slot("j", 0))]);
+    assert_eq!(effects, [Effect::GiveUp(sample_id("j", 0))]);
 }
 
 #[test]
-fn a_silent_stream_moves_only_while_another_engine_has_a_free_place() {
+fn a_stalled_stream_moves_only_if_another_engine_has_a_free_slot() {
     let mut world = world(&[target("a", 1)]);
-    let (run, _, _) = starts(&world.step(10, &Event::Opened(work("j", &[100]))))[0].clone();
+    let (run, _, _) = starts(&world.step(10, &Event::Opened(job_spec("j", &[100]))))[0].clone();
     world.step(20, &Event::AnswerStarted { run });
-    assert!(world.step(500, &Event::Tick).is_empty(), "there is nowhere to go");
+    assert!(world.step(500, &Event::Tick).is_empty(), "no other engine has a free slot");
     world.fleet.announce(Time(500), target("b", 1));
     let effects = world.step(520, &Event::Tick);
     assert!(effects.contains(&Effect::Cancel(run)), "{effects:?}");
@@ -178,10 +181,10 @@
 }
 
 #[test]
-fn a_run_that_could_not_begin_again_here_stays_on_a_slow_engine() {
+fn a_run_that_cannot_restart_here_stays_on_a_slow_engine() {
     let moves = |members: &[&str], stale: bool| {
         let mut world = world(&[target("a", 1)]);
-        let started = starts(&world.step(10, &Event::Opened(work("j", &[5_000]))));
+        let started = starts(&world.step(10, &Event::Opened(job_spec("j", &[5_000]))));
         world.fleet.announce(Time(20), target("b", 1));
         let run = started[0].0;
         world.step(20, &Event::AnswerStarted { run });
@@ -197,14 +200,14 @@
         effects.iter().any(|effect| matches!(effect, Effect::Moved { .. }))
     };
     assert!(moves(&["me"], false));
-    assert!(!moves(&["somebody else"], false), "its new owner may not know of it yet");
-    assert!(!moves(&["me"], true), "its job may have been ended");
+    assert!(!moves(&["somebody else"], false), "a new owner may not know of the sample yet");
+    assert!(!moves(&["me"], true), "the job may have ended");
 }
 
 #[test]
-fn a_run_leaves_an_engine_that_is_gone() {
+fn a_run_moves_off_an_expired_engine() {
     let mut world = world(&[target("a", 1), target("b", 1)]);
-    let (run, _, at) = starts(&world.step(10, &Event::Opened(work("j", &[100]))))[0].clone();
+    let (run, _, at) = starts(&world.step(10, &Event::Opened(job_spec("j", &[100]))))[0].clone();
     world.fleet.record_expiry(Time(20), &at);
     let effects = world.step(20, &Event::Tick);
     assert!(effects.contains(&Effect::Cancel(run)), "{effects:?}");
@@ -212,7 +215,7 @@
 }
 
 #[test]
-fn every_group_has_one_owner_and_a_change_moves_only_what_it_must() {
+fn a_removed_member_moves_only_its_own_groups() {
     let members: Vec<String> = (0..9).map(|n| format!("m{n}")).collect();
     let mut moved = 0;
     for group in 0..200 {
@@ -225,64 +228,67 @@
             moved += 1;
         }
     }
-    assert!((8..=40).contains(&moved), "about a ninth of 200 groups moves, not {moved}");
+    assert!((8..=40).contains(&moved), "expected about a ninth of 200 groups to move, got {moved}");
 }
 
 #[test]
-fn a_new_member_set_hands_idle_samples_over_and_takes_others() {
+fn idle_samples_follow_a_new_member_set() {
     let mut world = world(&[]);
-    world.step(10, &Event::Opened(work("j", &[100; 20])));
+    world.step(10, &Event::Opened(job_spec("j", &[100; 20])));
     let members = vec!["me".to_owned(), "you".to_owned()];
     world.step(20, &Event::Members(members.clone()));
     world.fleet.announce(Time(30), target("a", 1));
     world.fleet.announce(Time(30), target("b", 1));
     world.fleet.announce(Time(30), target("c", 1));
-    let mut mine: Vec<usize> =
+    let mut own_samples: Vec<usize> =
         starts(&world.step(30, &Event::Tick)).iter().map(|start| start.1).collect();
-    mine.sort_unstable();
+    own_samples.sort_unstable();
     let expected: Vec<usize> =
         (0..20).filter(|at| owner(&members, "j", &format!("g{at}")) == Some("me")).collect();
-    assert_eq!(mine, expected);
+    assert_eq!(own_samples, expected);
 }
 
 #[test]
-fn samples_that_an_earlier_step_asked_for_come_before_longer_ones() {
+fn resumed_samples_start_before_longer_ones() {
     let mut world = world(&[target("a", 1)]);
-    let mut job = work("j", &[900, 100]);
+    let mut job = job_spec("j", &[900, 100]);
     job.samples[1].resumed = true;
     let effects = world.step(10, &Event::Opened(job));
     let order: Vec<usize> = starts(&effects).iter().map(|start| start.1).collect();
     assert_eq!(order, [1, 0]);
-    let ranks: Vec<u8> = effects
+    let priorities: Vec<u8> = effects
         .iter()
         .filter_map(|effect| match effect {
             Effect::Start { priority, .. } => Some(*priority),
             _ => None,
         })
         .collect();
-    assert!(ranks[0] <= ranks[1], "{ranks:?}");
+    assert!(priorities[0] <= priorities[1], "{priorities:?}");
 }
 
 #[test]
-fn a_run_begins_anew_after_a_text_that_is_well_ahead_of_its_own() {
+fn a_run_restarts_from_a_stored_text_that_is_well_ahead() {
     let mut world = world(&[target("a", 1)]);
-    let (run, _, _) = starts(&world.step(10, &Event::Opened(work("j", &[100]))))[0].clone();
+    let (run, _, _) = starts(&world.step(10, &Event::Opened(job_spec("j", &[100]))))[0].clone();
     world.step(20, &Event::StreamEvent { run });
     assert!(
-        world.step(30, &Event::PartialTextStored { sample_id: slot("j", 0), last: 5 }).is_empty()
+        world
+            .step(30, &Event::PartialTextStored { sample_id: sample_id("j", 0), last: 5 })
+            .is_empty()
     );
-    let effects = world.step(40, &Event::PartialTextStored { sample_id: slot("j", 0), last: 60 });
+    let effects =
+        world.step(40, &Event::PartialTextStored { sample_id: sample_id("j", 0), last: 60 });
     assert!(effects.contains(&Effect::Cancel(run)), "{effects:?}");
     assert_eq!(starts(&effects).len(), 1);
 }
 
 #[test]
-fn after_any_changes_of_the_members_each_group_is_its_owner_s() {
+fn after_membership_changes_each_group_runs_at_its_owner() {
     arbtest::arbtest(|u| {
         let names: Vec<String> = (0..9).map(|n| format!("i{n}")).collect();
         let mut world = world(&[]);
         world.state = State::new("i0");
-        world.step(1, &Event::Opened(work("j", &[10; 24])));
+        world.step(1, &Event::Opened(job_spec("j", &[10; 24])));
         let mut members = Vec::new();
         for round in 0..6 {
             members.clear();
--- a/crates/hollywell/tests/reducer/samples.rs
+++ b/crates/hollywell/tests/reducer/samples.rs
@@ -94,7 +94,8 @@
     let started = generated(&state.step(Time(1_003), &open_step(4)));
     state.step(Time(1_004), &Event::Drain);
     for (number, dispatch) in started.iter().enumerate() {
-        let complete = Event::SampleEnded { dispatch: *dispatch, end: SampleEnd::Complete(vec![4]) };
+        let complete =
+            Event::SampleEnded { dispatch: *dispatch, end: SampleEnd::Complete(vec![4]) };
         let effects = state.step(Time(1_005 + number as u64), &complete);
         assert_eq!(delivered(&effects), 1, "samples in flight are delivered while draining");
         let ended = |effect: &Effect| match effect {
