--- a/crates/hollywell/tests/ending.rs
+++ b/crates/hollywell/tests/ending.rs
@@ -1,5 +1,5 @@
-//! Ends that the store does not take: they hold at once, reach everybody
-//! without the store, and reach the store in the end.
+//! Ends of jobs that the store refuses: they take effect at once, reach all
+//! instances without the store, and are stored eventually.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -11,25 +11,25 @@
     time::Time,
 };
 
-/// Generated schedules, with fixed seeds.
+/// Number of generated schedules, with fixed seeds.
 const SCHEDULES: u64 = 1_000;
-/// Random bytes of a schedule.
+/// Size of a schedule in random bytes.
 const SIZE: u64 = 2_000;
 /// Time between ticks, in milliseconds.
 const TICK_MS: u64 = 50;
-/// How long a live instance may not know of an end after it was asked for, in
-/// milliseconds, where at most half of the calls between instances are lost
-/// and each may lose all of its first three: four tries and a relay's.
-const SPREAD_MS: u64 = 3_000;
-/// How long an end may take to reach a store that takes appends again: the
-/// slowest retry.
-const STORE_MS: u64 = 12_000;
+/// Maximum time until a live instance knows of a requested end, in milliseconds,
+/// where at most half of the calls between instances are lost and each pair may
+/// lose all of its first three: four attempts and one of a relay.
+const PROPAGATION_MS: u64 = 3_000;
+/// Maximum time until an end is stored after the store accepts appends again, in
+/// milliseconds: the longest retry interval.
+const MAX_STORE_DELAY_MS: u64 = 12_000;
 
 fn name(number: usize) -> String {
     format!("i{number}@10.0.0.{number}:80/1")
 }
 
-fn asked(job: &str) -> Event {
+fn requested(job: &str) -> Event {
     Event::Requested { job: job.into(), known: true }
 }
 
@@ -43,12 +43,12 @@
 }
 
 #[test]
-fn an_end_that_the_store_takes_at_once_is_told_to_nobody() {
+fn an_end_stored_at_once_is_not_sent_to_others() {
     let all = members(3);
     let mut state = State::new(&all[0]);
-    state.step(Time(0), &asked("j"));
+    state.step(Time(0), &requested("j"));
     state.step(Time(5), &Event::Stored("j".into()));
-    assert!(state.is_pending("j"), "until it is read");
+    assert!(state.is_pending("j"), "the end is pending until it is read back");
     assert!(state.is_stored("j"));
     for at in (50..4_000).step_by(50) {
         assert_eq!(state.step(Time(at), &tick(&all, &["j"])), [], "at {at}");
@@ -58,30 +58,31 @@
 }
 
 #[test]
-fn a_refused_end_is_told_to_all_by_the_one_that_was_asked_and_by_others_to_two() {
+fn a_refused_end_goes_from_its_receiver_to_all_and_from_others_to_two() {
     let all = members(6);
     let refused = Event::Failed { job: "j".into(), refused: true };
     let mut first = State::new(&all[0]);
-    first.step(Time(0), &asked("j"));
+    first.step(Time(0), &requested("j"));
     first.step(Time(5), &refused);
-    let told = |effects: Vec<Effect>| -> Vec<String> {
-        let tell = |effect| match effect {
+    let notified = |effects: Vec<Effect>| -> Vec<String> {
+        let member = |effect| match effect {
             Effect::Notify { member, .. } => Some(member),
             _ => None,
         };
-        effects.into_iter().filter_map(tell).collect()
+        effects.into_iter().filter_map(member).collect()
     };
-    assert_eq!(told(first.step(Time(50), &tick(&all, &["j"]))), all[1..]);
+    assert_eq!(notified(first.step(Time(50), &tick(&all, &["j"]))), all[1..]);
     let mut last = State::new(&all[5]);
     let by = all[0].clone();
     let close = last.step(Time(60), &Event::Reported { by, jobs: vec!["j".into()] });
     assert_eq!(close, [Effect::Close("j".into())]);
-    // The first in the ring told it; the one after is the second relay.
-    assert_eq!(told(last.step(Time(100), &tick(&all, &["j"]))), [all[1].clone()]);
+    // Its first relay in the ring is the member that reported the end; the next
+    // one is the second relay.
+    assert_eq!(notified(last.step(Time(100), &tick(&all, &["j"]))), [all[1].clone()]);
 }
 
 #[test]
-fn an_end_of_a_job_that_is_not_known_is_not_appended_and_is_forgotten() {
+fn an_end_of_an_unknown_job_is_not_stored_and_expires() {
     let all = members(2);
     let mut state = State::new(&all[0]);
     let effects = state.step(Time(0), &Event::Requested { job: "j".into(), known: false });
@@ -89,18 +90,18 @@
     let effects = state.step(Time(50), &tick(&all, &[]));
     assert!(matches!(&effects[..], [Effect::Notify { .. }]), "{effects:?}");
     state.step(Time(20_000), &tick(&all, &[]));
-    assert!(state.is_pending("j"), "it may be read late");
+    assert!(state.is_pending("j"), "the job may still be read");
     state.step(Time(31_000), &tick(&all, &[]));
     assert!(!state.is_pending("j"));
 }
 
-/// Instances, a store that refuses for a while, and one job.
+/// Simulated instances, a store that refuses appends for a while, and one job.
 struct World {
     names: Vec<String>,
     states: Vec<State>,
     /// Whether the end is in the store.
     stored: bool,
-    /// Tells that each pair may still lose.
+    /// Number of notifications still to be lost, by sender and recipient.
     losses: Vec<Vec<u8>>,
 }
 
@@ -118,25 +119,26 @@
         Ok(World { names, states, stored: false, losses })
     }
 
-    /// One tick of everybody. `takes` says whether the store takes appends.
-    fn turn(&mut self, now: Time, takes: bool) {
+    /// Runs one tick of every instance. `accepts` says whether the store accepts
+    /// appends.
+    fn tick_all(&mut self, now: Time, accepts: bool) {
         for at in 0..self.states.len() {
             if self.stored {
                 self.states[at].step(now, &Event::Settled("j".into()));
             }
             let effects = self.states[at].step(now, &tick(&self.names, &["j"]));
             for effect in effects {
-                self.carry_out(now, at, effect, takes);
+                self.apply_effect(now, at, effect, accepts);
             }
         }
     }
 
-    fn carry_out(&mut self, now: Time, at: usize, effect: Effect, takes: bool) {
+    fn apply_effect(&mut self, now: Time, at: usize, effect: Effect, accepts: bool) {
         match effect {
             Effect::Close(_) => {}
             Effect::Append(job) => {
-                self.stored |= takes;
-                let event = match takes {
+                self.stored |= accepts;
+                let event = match accepts {
                     true => Event::Stored(job),
                     false => Event::Failed { job, refused: true },
                 };
@@ -155,49 +157,57 @@
         }
     }
 
-    /// Instance `at` is replaced by a new run that knows nothing.
-    fn restart(&mut self, at: usize, run: u64) {
-        self.names[at] = format!("i{at}@10.0.0.{at}:80/{run}");
+    /// Replaces instance `at` by a new incarnation without state.
+    fn restart(&mut self, at: usize, incarnation: u64) {
+        self.names[at] = format!("i{at}@10.0.0.{at}:80/{incarnation}");
         self.states[at] = State::new(&self.names[at]);
     }
 }
 
-/// One schedule: an end is asked while the store refuses; instances are
-/// replaced, also the one that was asked once it has told somebody; each new
-/// one learns of the end, and the store gets it once it takes appends.
+/// Runs one schedule. An end is requested while the store refuses appends.
+/// Instances are replaced, also the one that received the request once it has
+/// notified another. Each new one learns of the end, and the end is stored once the
+/// store accepts appends.
 fn schedule(u: &mut Unstructured<'_>) -> arbtest::arbitrary::Result<()> {
     let mut world = World::new(u)?;
     let first = u.int_in_range(0..=world.states.len() - 1)?;
     let back_ms = u.int_in_range(2_000..=20_000u64)?;
-    let mut changed = vec![0; world.states.len()];
-    for effect in world.states[first].step(Time(0), &asked("j")) {
-        world.carry_out(Time(0), first, effect, false);
+    let mut replaced_at = vec![0; world.states.len()];
+    for effect in world.states[first].step(Time(0), &requested("j")) {
+        world.apply_effect(Time(0), first, effect, false);
     }
     let mut now = 0;
-    while now < back_ms + STORE_MS {
+    while now < back_ms + MAX_STORE_DELAY_MS {
         now += TICK_MS;
-        world.turn(Time(now), now >= back_ms);
+        world.tick_all(Time(now), now >= back_ms);
         let holders = world.states.iter().filter(|state| state.is_pending("j")).count();
         let at = u.int_in_range(0..=world.states.len() - 1)?;
-        // Replaced is at most one at a time, so that somebody still knows.
-        let calm = changed.iter().all(|at| now > at + SPREAD_MS);
-        if !world.stored && calm && holders == world.states.len() && u.ratio(1, 8)? {
+        // At most one instance is replaced at a time, so that another still knows
+        // of the end.
+        let propagated = replaced_at.iter().all(|at| now > at + PROPAGATION_MS);
+        if !world.stored && propagated && holders == world.states.len() && u.ratio(1, 8)? {
             world.restart(at, now);
-            changed[at] = now;
+            replaced_at[at] = now;
         }
         for (at, state) in world.states.iter().enumerate() {
-            let late = now > changed[at] + SPREAD_MS;
-            assert!(world.stored || !late || state.is_pending("j"), "instance {at} at {now}");
+            let is_due = now > replaced_at[at] + PROPAGATION_MS;
+            assert!(
+                world.stored || !is_due || state.is_pending("j"),
+                "instance {at} does not know of the end at {now}"
+            );
         }
     }
-    assert!(world.stored, "the end never reached the store");
-    world.turn(Time(now), true);
-    assert!(world.states.iter().all(|state| !state.is_pending("j")), "nothing is held for good");
+    assert!(world.stored, "expected the end to be stored within {MAX_STORE_DELAY_MS} ms");
+    world.tick_all(Time(now), true);
+    assert!(
+        world.states.iter().all(|state| !state.is_pending("j")),
+        "no end may stay pending after it was stored"
+    );
     Ok(())
 }
 
 #[test]
-fn generated_schedules_spread_an_end_without_the_store_and_bring_it_there() {
+fn ends_reach_all_instances_during_a_store_outage_and_are_stored_after() {
     for seed in 0..SCHEDULES {
         arbtest(schedule).seed((seed + 1).wrapping_mul(0x9E37_79B9) << 32 | SIZE).run();
     }
--- a/crates/hollywell/tests/roll.rs
+++ b/crates/hollywell/tests/roll.rs
@@ -1,4 +1,4 @@
-//! Which engines load what, and when.
+//! Loading of model versions: which engines load which version, and when.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -13,7 +13,7 @@
     let mut fleet = Fleet::default();
     for n in 0..engines {
         let versions = models.iter().map(|model| ((*model).to_owned(), version)).collect();
-        let said = Announcement {
+        let announcement = Announcement {
             id: format!("e{n}"),
             pool: "llm".into(),
             address: ([127, 0, 0, 1], 80).into(),
@@ -25,77 +25,82 @@
             sequence: 0,
             versions,
         };
-        fleet.announce(Time(1), said);
+        fleet.announce(Time(1), announcement);
     }
     fleet
 }
 
-fn named(versions: &[(&str, u64)]) -> Models {
-    let named = versions.iter().map(|(model, version)| ((*model).to_owned(), *version)).collect();
-    Models { newest: named, ..Models::default() }
+fn models_at(versions: &[(&str, u64)]) -> Models {
+    let newest = versions.iter().map(|(model, version)| ((*model).to_owned(), *version)).collect();
+    Models { newest, ..Models::default() }
 }
 
-/// Carries all orders out, one pass after the other; how many there were.
-fn settle(fleet: &mut Fleet, named: &Models) -> usize {
+/// Carries out all orders, pass by pass, and returns how many there were.
+fn load_all(fleet: &mut Fleet, models: &Models) -> usize {
     let (mut state, observations) = (State::default(), Observations::default());
     let mut count = 0;
     for now in 1..100 {
-        for order in state.step(Time(now), "d", named, fleet, &observations) {
+        for order in state.step(Time(now), "d", models, fleet, &observations) {
             fleet.record_version(&order.target, order.start_ms, &order.model, order.version);
             count += 1;
         }
     }
-    assert!(!has_due_load("d", named, fleet));
+    assert!(!has_due_load("d", models, fleet));
     count
 }
 
 #[test]
-fn each_version_is_loaded_by_half_and_no_engine_falls_two_behind() {
+fn half_the_engines_load_each_version_and_none_falls_two_behind() {
     let mut fleet = fleet(11, &["m"], 1);
     for version in 2..12 {
-        let count = settle(&mut fleet, &named(&[("m", version)]));
-        assert!((5..=6).contains(&count), "{count} loads for version {version}");
+        let count = load_all(&mut fleet, &models_at(&[("m", version)]));
+        assert!(
+            (5..=6).contains(&count),
+            "expected 5 or 6 loads for version {version}, got {count}"
+        );
         let oldest = fleet.targets.values().map(|target| target.announcement.versions["m"]).min();
         assert!(oldest >= Some(version - 1), "{oldest:?} at version {version}");
     }
 }
 
-/// Loads for each version, and engines that can serve each model then, where
-/// all models are named a version at a time.
-fn kept(engines: usize, models: &[&str]) -> Vec<(usize, Vec<usize>)> {
+/// For each version, returns the number of loads and, by model, the number of
+/// engines that can serve it afterwards. All models are published one version at
+/// a time.
+fn loads_and_servers(engines: usize, models: &[&str]) -> Vec<(usize, Vec<usize>)> {
     let mut fleet = fleet(engines, models, 1);
-    let mut seen = Vec::new();
+    let mut results = Vec::new();
     for version in 2..10 {
-        let named: Vec<(&str, u64)> = models.iter().map(|model| (*model, version)).collect();
-        let loads = settle(&mut fleet, &self::named(&named));
-        let able = |model: &&str| {
-            let fresh =
+        let newest: Vec<(&str, u64)> = models.iter().map(|model| (*model, version)).collect();
+        let loads = load_all(&mut fleet, &models_at(&newest));
+        let servers = |model: &&str| {
+            let is_recent =
                 |id: &&String| fleet.targets[*id].announcement.versions[*model] + 1 >= version;
-            fleet.targets.keys().filter(fresh).count()
+            fleet.targets.keys().filter(is_recent).count()
         };
-        seen.push((loads, models.iter().map(able).collect()));
+        results.push((loads, models.iter().map(servers).collect()));
     }
-    // At first the version that all began with serves too.
-    seen.split_off(2)
+    // Omits the first two versions: the version that all engines start with may
+    // still be served then.
+    results.split_off(2)
 }
 
 #[test]
-fn engines_that_hold_several_models_keep_up_one_and_a_half_each() {
-    for (loads, able) in kept(9, &["m", "n"]) {
+fn engines_with_several_models_keep_one_and_a_half_each_current() {
+    for (loads, able) in loads_and_servers(9, &["m", "n"]) {
         assert!(loads <= 8, "{loads} loads for a version of each");
         assert!(able.iter().all(|able| (6..=7).contains(able)), "{able:?} engines can serve");
     }
-    for (loads, able) in kept(12, &["m", "n", "o"]) {
+    for (loads, able) in loads_and_servers(12, &["m", "n", "o"]) {
         assert!(loads <= 9, "{loads} loads for a version of each");
         assert!(able.iter().all(|able| *able == 6), "{able:?} engines can serve");
     }
 }
 
-/// A trainer whose steps have work for 56 engines of the 560 that there are.
-/// With all engines kept up each version was loaded 280 times, which took
-/// longer than a step, and cost more than all the rest of a day.
+/// A trainer's steps have work for 56 of 560 engines. When all engines were kept
+/// current, each version was loaded 280 times, which took longer than a step and
+/// cost more than everything else in a day.
 #[test]
-fn a_crowd_of_engines_loads_no_more_than_the_work_needs() {
+fn a_large_fleet_loads_only_on_the_engines_it_needs() {
     const DOMAINS: usize = 4;
     const SAMPLES: u64 = 224;
     let mut fleet = fleet(560, &["m"], 1);
@@ -104,7 +109,7 @@
     }
     let observations = Observations::default();
     for version in 2..8 {
-        let mut models = named(&[("m", version)]);
+        let mut models = models_at(&[("m", version)]);
         models.record_step("m", 100_000, SAMPLES);
         let mut states = vec![State::default(); DOMAINS];
         let mut loads = 0;
@@ -122,40 +127,42 @@
                 }
             }
         }
-        // Twice what its samples take, each version on half of the engines.
+        // The limit: twice the engines that the samples need, of which half load
+        // each version.
         assert!(loads <= 2 * 560 / 10 + 10, "{loads} loads for version {version}");
-        // Whichever failure domain is lost, the newest step has its places.
+        // After the loss of any one failure domain the newest step still has
+        // slots for all of its samples.
         for lost in 0..DOMAINS {
             let lost = format!("d{lost}");
-            let can = fleet.targets.values().filter(|target| {
+            let remaining = fleet.targets.values().filter(|target| {
                 target.announcement.domain != lost
                     && target.announcement.versions["m"] + 1 >= version
             });
-            let places: u64 = can.map(|target| u64::from(target.announcement.slots)).sum();
-            assert!(places >= SAMPLES, "{places} places without {lost} for version {version}");
+            let slots: u64 = remaining.map(|target| u64::from(target.announcement.slots)).sum();
+            assert!(slots >= SAMPLES, "{slots} slots without {lost} for version {version}");
         }
     }
 }
 
 #[test]
-fn the_model_whose_samples_have_the_fewest_places_loads_first() {
+fn the_model_with_the_fewest_slots_per_sample_loads_first() {
     let fleet = fleet(12, &["calm", "waits"], 1);
-    let mut models = named(&[("calm", 9), ("waits", 2)]);
+    let mut models = models_at(&[("calm", 9), ("waits", 2)]);
     let step = |min_version, samples| vec![Step { min_version, samples }];
     models.steps.insert("calm".into(), step(1, 10));
     models.steps.insert("waits".into(), step(2, 70));
     let orders = State::default().step(Time(10), "d", &models, &fleet, &Observations::default());
     let order: Vec<&str> = orders.iter().map(|order| order.model.as_str()).collect();
-    assert_eq!(order, ["waits"; 3], "though the engines are further behind with the other");
+    assert_eq!(order, ["waits"; 3], "although the other model is more versions behind");
 }
 
-/// Three trainers that are behind: each version is named at the moment at
-/// which its step of 72 samples is asked for, 1.2 s after another trainer's.
-/// A load takes 0.9 s, with more than two at a time as much longer as there
-/// are more. Mean time, in milliseconds, until a step has places for half of
-/// its samples at once: 1,428 where engines keep up two models and loads go by
-/// age, 972 as it is.
-fn places_after_ms() -> u64 {
+/// Simulates three trainers that are behind: each version is published when its
+/// step of 72 samples is requested, 1.2 s after another trainer's. A load takes
+/// 0.9 s; with more than two concurrent loads it takes proportionally longer.
+/// Returns the mean time, in milliseconds, until a step has slots for half of its
+/// samples: 972 now, against 1,428 when engines kept two models current and loads
+/// were ordered by age.
+fn mean_wait_for_slots_ms() -> u64 {
     const DOMAINS: [&str; 4] = ["a", "b", "c", "d"];
     const MODELS: [&str; 3] = ["m", "n", "o"];
     const PERIOD_MS: u64 = 3_600;
@@ -164,16 +171,16 @@
         target.announcement.domain = DOMAINS[n % 4].into();
         target.announcement.slots = 12;
     }
-    let mut offices = DOMAINS.map(|_| State::default());
+    let mut loaders = DOMAINS.map(|_| State::default());
     let mut models = Models::default();
     let mut loading: Vec<(u64, String, String, u64)> = Vec::new();
     let mut waiting: Vec<(&str, u64, u64)> = Vec::new();
-    let mut waits = Vec::new();
+    let mut waits_ms = Vec::new();
     for now in (0..80_000).step_by(100) {
         for (n, model) in MODELS.iter().enumerate() {
-            let asked = now + PERIOD_MS - 1_200 * n as u64;
-            if asked.is_multiple_of(PERIOD_MS) {
-                let version = asked / PERIOD_MS + 1;
+            let requested_at = now + PERIOD_MS - 1_200 * n as u64;
+            if requested_at.is_multiple_of(PERIOD_MS) {
+                let version = requested_at / PERIOD_MS + 1;
                 models.newest.insert((*model).into(), version);
                 let step = Step { min_version: version - 1, samples: 72 };
                 models.steps.insert((*model).into(), vec![step]);
@@ -186,18 +193,18 @@
             }
             *until > now
         });
-        for (office, domain) in offices.iter_mut().zip(DOMAINS) {
-            for order in office.step(Time(now), domain, &models, &fleet, &Observations::default()) {
+        for (loader, domain) in loaders.iter_mut().zip(DOMAINS) {
+            for order in loader.step(Time(now), domain, &models, &fleet, &Observations::default()) {
                 let takes = (900 * (loading.len() as u64 + 1) / 2).max(900);
                 loading.push((now + takes, order.target, order.model, order.version));
             }
         }
-        waiting.retain(|(model, min_version, asked)| {
+        waiting.retain(|(model, min_version, requested_at)| {
             let fits =
                 fleet.targets.values().filter(|t| t.announcement.versions[*model] >= *min_version);
             let served = fits.map(|target| target.announcement.slots).sum::<u32>() >= 36;
             if served {
-                waits.push(now - asked);
+                waits_ms.push(now - requested_at);
                 if let Some(steps) = models.steps.get_mut(*model) {
                     steps[0].samples = 10;
                 }
@@ -205,63 +212,64 @@
             !served
         });
     }
-    waits.iter().sum::<u64>() / waits.len() as u64
+    waits_ms.iter().sum::<u64>() / waits_ms.len() as u64
 }
 
 #[test]
-fn trainers_that_are_behind_find_places_for_their_steps() {
-    let mean_ms = places_after_ms();
-    assert!(mean_ms < 1_200, "{mean_ms} ms until half of a step has places");
+fn trainers_that_are_behind_get_slots_soon() {
+    let mean_ms = mean_wait_for_slots_ms();
+    assert!(mean_ms < 1_200, "expected slots for half of a step within 1200 ms, got {mean_ms} ms");
 }
 
 #[test]
-fn an_order_without_effect_is_given_again_and_others_wait_for_it() {
+fn an_order_without_effect_is_retried_and_delays_others() {
     let fleet = fleet(2, &["m"], 1);
-    let named = named(&[("m", 3)]);
+    let models = models_at(&[("m", 3)]);
     let (mut state, observations) = (State::default(), Observations::default());
-    let first = state.step(Time(10), "d", &named, &fleet, &observations);
+    let first = state.step(Time(10), "d", &models, &fleet, &observations);
     assert_eq!(first.len(), 1);
-    assert!(state.step(Time(500), "d", &named, &fleet, &observations).is_empty());
+    assert!(state.step(Time(500), "d", &models, &fleet, &observations).is_empty());
     state.order_failed(&first[0].target);
-    assert_eq!(state.step(Time(600), "d", &named, &fleet, &observations).len(), 1);
-    let again = state.step(Time(9_000), "d", &named, &fleet, &observations);
-    assert_eq!(again.len(), 1, "an order does not block for good");
+    assert_eq!(state.step(Time(600), "d", &models, &fleet, &observations).len(), 1);
+    let retried = state.step(Time(9_000), "d", &models, &fleet, &observations);
+    assert_eq!(retried.len(), 1, "an order without result must not block others forever");
 }
 
 #[test]
-fn engines_of_other_failure_domains_and_leaving_ones_get_no_orders() {
+fn only_staying_engines_of_the_own_domain_get_orders() {
     let mut fleet = fleet(3, &["m"], 1);
     fleet.targets.get_mut("e0").unwrap().announcement.domain = "elsewhere".into();
     fleet.targets.get_mut("e1").unwrap().announcement.draining = true;
-    let named = named(&[("m", 3)]);
-    let orders = State::default().step(Time(10), "d", &named, &fleet, &Observations::default());
+    let models = models_at(&[("m", 3)]);
+    let orders = State::default().step(Time(10), "d", &models, &fleet, &Observations::default());
     let targets: Vec<&str> = orders.iter().map(|order| order.target.as_str()).collect();
     assert_eq!(targets, ["e2"]);
 }
 
 #[test]
-fn engines_are_dealt_out_by_the_tokens_that_are_asked_for() {
+fn engines_are_shared_in_proportion_to_requested_tokens() {
     let mut fleet = fleet(12, &["large", "small"], 1);
-    let mut models = named(&[("large", 3), ("small", 3)]);
+    let mut models = models_at(&[("large", 3), ("small", 3)]);
     models.record_step("large", 90_000, 100);
     models.record_step("small", 30_000, 100);
-    settle(&mut fleet, &models);
-    let kept = |model: &str| {
+    load_all(&mut fleet, &models);
+    let current = |model: &str| {
         fleet.targets.values().filter(|target| target.announcement.versions[model] == 3).count()
     };
-    // 9 and 3 of 12 places, one and a half times, no more than there are.
-    assert_eq!((kept("large"), kept("small")), (12, 4));
-    // A step that is somewhat larger moves no engine.
+    // Shares of 9 and 3 of 12 engines, times 1.5, limited to the 12 that exist.
+    assert_eq!((current("large"), current("small")), (12, 4));
+    // A moderately larger step changes no assignment.
     models.record_step("small", 36_000, 100);
     assert!(!has_due_load("d", &models, &fleet));
 }
 
 #[test]
-fn a_fifth_of_a_failure_domains_engines_load_at_a_time() {
+fn a_fifth_of_a_domain_s_engines_load_concurrently() {
     for (engines, expected) in [(2, 1), (5, 1), (6, 2), (11, 3)] {
         let fleet = fleet(engines, &["m"], 1);
-        let named = named(&[("m", 3)]);
-        let orders = State::default().step(Time(10), "d", &named, &fleet, &Observations::default());
-        assert_eq!(orders.len(), expected, "{engines} engines");
+        let models = models_at(&[("m", 3)]);
+        let orders =
+            State::default().step(Time(10), "d", &models, &fleet, &Observations::default());
+        assert_eq!(orders.len(), expected, "orders for {engines} engines");
     }
 }
--- a/crates/hollywell/tests/usage.rs
+++ b/crates/hollywell/tests/usage.rs
@@ -1,5 +1,6 @@
-//! Usage as it is counted, decided once and reported: whatever is lost,
-//! repeated or late, no window is ever reported in two ways.
+//! Usage counts: counted by instances, decided once for each window, and
+//! reported. Despite lost, repeated and late messages no window is ever reported
+//! with two different contents.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -14,7 +15,7 @@
     },
 };
 
-const TERMS: Schedule = Schedule { window_ms: 5_000, late_ms: 10_000 };
+const SCHEDULE: Schedule = Schedule { window_ms: 5_000, late_ms: 10_000 };
 
 fn ledger(records: &[(String, Bytes)]) -> Ledger {
     let mut ledger = Ledger::default();
@@ -27,7 +28,7 @@
 }
 
 #[test]
-fn pieces_of_all_instances_are_added_up_once() {
+fn counts_of_all_instances_are_summed_once() {
     let (mut a, mut b) = (Tally::default(), Tally::default());
     (0..3).for_each(|_| a.begin(4, "survey"));
     let early = a.take_changed("a1");
@@ -35,62 +36,64 @@
     a.undo(4, "survey");
     let late = a.take_changed("a1");
     b.begin(4, "survey");
-    // The same window again, by a peer, and older than what is there.
+    // A peer forwards an older state of the same window.
     let forwarded: Vec<_> =
         early.iter().map(|(key, value)| (forwarded_key(key, "b1"), value.clone())).collect();
     let all: Vec<_> = [late, b.take_changed("b1"), forwarded].concat();
-    let sum = ledger(&all).next(TERMS.settled_ms(4), TERMS, 4);
+    let sum = ledger(&all).next(SCHEDULE.settled_ms(4), SCHEDULE, 4);
     assert_eq!(sum, Next::Decide(4, counts(&[("harbour", 1), ("survey", 3)])));
 }
 
 #[test]
-fn what_the_store_did_not_take_is_brought_again() {
+fn counts_not_stored_are_written_again() {
     let mut tally = Tally::default();
     tally.begin(4, "survey");
     let taken = tally.take_changed("a1");
     tally.mark_unsaved(&taken);
-    let again = tally.take_changed("a1");
-    assert_eq!(again.len(), 1);
-    let sum = ledger(&[taken, again].concat()).next(TERMS.settled_ms(4), TERMS, 4);
+    let rewritten = tally.take_changed("a1");
+    assert_eq!(rewritten.len(), 1);
+    let sum = ledger(&[taken, rewritten].concat()).next(SCHEDULE.settled_ms(4), SCHEDULE, 4);
     assert_eq!(sum, Next::Decide(4, counts(&[("survey", 1)])));
 }
 
 #[test]
-fn what_is_written_down_is_reported_to_the_byte_oldest_first() {
+fn decisions_are_reported_unchanged_oldest_first() {
     let mut ledger = Ledger::default();
     let report = Bytes::from_static(b"as it was decided");
     for (key, value) in [decision(8, report.clone()), decision(7, report.clone())] {
         ledger.add_record(&key, &value).unwrap();
     }
-    let now = TERMS.settled_ms(9);
-    assert_eq!(ledger.next(now, TERMS, 7), Next::Report(7, report.clone()));
+    let now = SCHEDULE.settled_ms(9);
+    assert_eq!(ledger.next(now, SCHEDULE, 7), Next::Report(7, report.clone()));
     for (key, value) in reported(7).into_iter().filter(|(_, value)| !value.is_empty()) {
         ledger.add_record(&key, &value).unwrap();
     }
-    assert_eq!(ledger.next(now, TERMS, 7), Next::Report(8, report));
+    assert_eq!(ledger.next(now, SCHEDULE, 7), Next::Report(8, report));
     assert_eq!(ledger.last_reported(), Some(7));
 }
 
 #[test]
-fn a_duty_left_undone_for_long_is_taken_up_near_the_present() {
+fn reporting_after_a_long_gap_starts_near_the_present() {
     let mut ledger = Ledger::default();
     for (key, value) in reported(3).into_iter().filter(|(_, value)| !value.is_empty()) {
         ledger.add_record(&key, &value).unwrap();
     }
-    let now = TERMS.settled_ms(1_000);
-    let Next::Decide(window, _) = ledger.next(now, TERMS, 0) else { panic!("nothing is due") };
-    assert!((970..=990).contains(&window), "{window}");
+    let now = SCHEDULE.settled_ms(1_000);
+    let Next::Decide(window, _) = ledger.next(now, SCHEDULE, 0) else {
+        panic!("expected a window to decide")
+    };
+    assert!((970..=990).contains(&window), "expected a window from 970 to 990, got {window}");
 }
 
 #[test]
-fn what_cannot_be_read_is_skipped() {
+fn malformed_records_are_skipped() {
     arbtest(|u| {
         let mut ledger = Ledger::default();
         let (key, value): (String, Vec<u8>) = (u.arbitrary()?, u.arbitrary()?);
-        let before = ledger.next(0, TERMS, 5);
+        let before = ledger.next(0, SCHEDULE, 5);
         let _either = ledger.add_counts(&key, &value);
         let read = ledger.add_record(&key, &Bytes::from(value));
-        assert!(read.is_ok() || ledger.next(0, TERMS, 5) == before || ledger.is_obsolete(""));
+        assert!(read.is_ok() || ledger.next(0, SCHEDULE, 5) == before || ledger.is_obsolete(""));
         Ok(())
     })
     .seed(0x5eed_0000_0400)
@@ -100,125 +103,127 @@
         assert!(ledger.add_record(key, &Bytes::from_static(b"x")).is_err(), "{key:?}");
     }
     assert!(ledger.add_counts("7|a", b"\xff").is_err());
-    assert_eq!(ledger.next(0, TERMS, 5), Next::Wait(TERMS.settled_ms(5)));
+    assert_eq!(ledger.next(0, SCHEDULE, 5), Next::Wait(SCHEDULE.settled_ms(5)));
 }
 
 #[test]
-fn a_clock_that_jumps_and_comes_back_moves_no_window() {
-    let mut day = SteadyClock::default();
-    let (start, wall) = (Time(1_000), 1_000_000);
-    assert_eq!(day.read(start, wall), wall);
+fn a_temporary_clock_jump_moves_no_window() {
+    let mut clock = SteadyClock::default();
+    let (start, unix_ms) = (Time(1_000), 1_000_000);
+    assert_eq!(clock.read(start, unix_ms), unix_ms);
     for ms in (100..20_000).step_by(100) {
         let jump = if (5_000..12_000).contains(&ms) { 2_000 } else { 0 };
-        assert_eq!(day.read(start.after(ms), wall + ms + jump), wall + ms);
+        assert_eq!(clock.read(start.after(ms), unix_ms + ms + jump), unix_ms + ms);
     }
-    // One that was wrong from the start is put right.
+    // A lasting offset is adopted, so that a clock that was wrong from the start
+    // is corrected.
     for ms in (20_000..60_000).step_by(100) {
-        day.read(start.after(ms), wall + ms + 3_000);
+        clock.read(start.after(ms), unix_ms + ms + 3_000);
     }
-    assert_eq!(day.read(start.after(60_000), wall + 63_000), wall + 63_000);
+    assert_eq!(clock.read(start.after(60_000), unix_ms + 63_000), unix_ms + 63_000);
 }
 
-/// Everything that can happen to two windows with three instances, any of
-/// which may believe at any time to hold the duty: the lease is left out, as
-/// the worst that it can fail to do.
-mod everything {
+/// Exhaustive exploration of two windows and three instances. The lease is not
+/// modelled: any instance may act as its holder at any time, which covers every
+/// failure of the lease.
+mod exhaustive {
     use super::*;
 
     const INSTANCES: usize = 3;
     const WINDOWS: usize = 2;
-    /// Writes to the log of decisions that are explored.
-    const MOST_END: u8 = 7;
+    /// Maximum number of explored appends to the log of decisions.
+    const MAX_END: u8 = 7;
 
-    /// What the store holds of a window.
+    /// State of a window in the store.
     #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
     struct Window {
-        /// The piece of an instance that was held up is there.
-        late_piece: bool,
-        /// What was decided, by whether that piece was in it.
+        /// Whether the counts of a delayed instance have arrived.
+        late_counts: bool,
+        /// The decision, if any: whether it includes the late counts.
         decided: Option<bool>,
     }
 
     #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-    struct Kept {
+    struct Stored {
         windows: [Window; WINDOWS],
         reported: Option<u8>,
         end: u8,
     }
 
-    /// What an instance is doing. A crash, or a loss of the lease, is to be
-    /// idle.
+    /// State of an instance. A crash or the loss of the lease makes it idle.
     #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
     enum Instance {
         #[default]
         Idle,
-        /// It has read this.
-        Read(Kept),
-        /// It was answered that a window is reported, and had read this.
-        Answered(u8, Kept),
+        /// The instance has read this state.
+        Read(Stored),
+        /// The platform has acknowledged the report of a window; the instance had
+        /// read this state before.
+        Answered(u8, Stored),
     }
 
     #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
     struct World {
-        kept: Kept,
+        stored: Stored,
         instances: [Instance; INSTANCES],
-        /// Reports that the platform may still carry out, by window.
-        late: BTreeSet<(u8, bool)>,
-        /// What the platform has accepted of each window.
+        /// Unacknowledged reports, by window, that the platform may still accept.
+        pending_reports: BTreeSet<(u8, bool)>,
+        /// The report that the platform has accepted for each window.
         accepted: [Option<bool>; WINDOWS],
     }
 
-    fn report(late_piece: bool) -> Bytes {
-        Bytes::from_static(if late_piece { b"2" } else { b"1" })
+    fn report(late_counts: bool) -> Bytes {
+        Bytes::from_static(if late_counts { b"2" } else { b"1" })
     }
 
-    /// The product's own decision on what was read.
-    fn next(kept: &Kept) -> Next {
+    /// Returns what the code under test does next after reading this state.
+    fn next(stored: &Stored) -> Next {
         let mut ledger = Ledger::default();
-        for (window, known) in kept.windows.iter().enumerate() {
+        for (window, window_state) in stored.windows.iter().enumerate() {
             let window = window as u64;
-            let mut pieces = vec!["on time"];
-            pieces.extend(known.late_piece.then_some("late"));
-            for writer in pieces {
+            let mut writers = vec!["on time"];
+            writers.extend(window_state.late_counts.then_some("late"));
+            for writer in writers {
                 let mut tally = Tally::default();
                 tally.begin(window, "survey");
                 let records = tally.take_changed(writer);
                 records.iter().for_each(|(key, value)| ledger.add_counts(key, value).unwrap());
             }
-            if let Some(late_piece) = known.decided {
-                let (key, value) = decision(window, report(late_piece));
+            if let Some(late_counts) = window_state.decided {
+                let (key, value) = decision(window, report(late_counts));
                 ledger.add_record(&key, &value).unwrap();
             }
         }
-        if let Some(last) = kept.reported {
+        if let Some(last) = stored.reported {
             let (key, value) = reported(u64::from(last)).swap_remove(0);
             ledger.add_record(&key, &value).unwrap();
         }
-        ledger.next(TERMS.settled_ms(WINDOWS as u64 - 1), TERMS, 0)
+        ledger.next(SCHEDULE.settled_ms(WINDOWS as u64 - 1), SCHEDULE, 0)
     }
 
     impl World {
-        /// A report reaches the platform. Panics if it had another.
-        fn accept(&mut self, window: u8, late_piece: bool) {
+        /// The platform accepts a report. Panics if it has accepted a different one
+        /// for the window.
+        fn accept(&mut self, window: u8, late_counts: bool) {
             let accepted = &mut self.accepted[usize::from(window)];
             assert!(
-                accepted.is_none_or(|before| before == late_piece),
-                "window {window} is reported in two ways"
+                accepted.is_none_or(|before| before == late_counts),
+                "window {window} is reported with two different contents"
             );
-            *accepted = Some(late_piece);
+            *accepted = Some(late_counts);
         }
 
-        /// Whatever can happen next.
+        /// Returns all possible next states.
         fn successors(&self) -> Vec<World> {
             let mut all = Vec::new();
             for window in 0..WINDOWS {
                 let mut arrives = self.clone();
-                arrives.kept.windows[window].late_piece = true;
+                arrives.stored.windows[window].late_counts = true;
                 all.push(arrives);
             }
-            for (window, late_piece) in &self.late {
+            for (window, late_counts) in &self.pending_reports {
                 let mut late = self.clone();
-                late.accept(*window, *late_piece);
+                late.accept(*window, *late_counts);
                 all.push(late);
             }
             for at in 0..INSTANCES {
@@ -228,39 +233,40 @@
         }
 
         fn steps_of(&self, at: usize) -> Vec<World> {
-            let become_ = |instance: Instance| {
+            let with_instance_state = |instance: Instance| {
                 let mut world = self.clone();
                 world.instances[at] = instance;
                 world
             };
-            let mut all = vec![become_(Instance::Idle)];
+            let mut all = vec![with_instance_state(Instance::Idle)];
             match self.instances[at] {
-                Instance::Idle => all.push(become_(Instance::Read(self.kept))),
-                Instance::Read(kept) => match next(&kept) {
+                Instance::Idle => all.push(with_instance_state(Instance::Read(self.stored))),
+                Instance::Read(stored) => match next(&stored) {
                     Next::Wait(_) => {}
                     Next::Decide(window, counts) => {
-                        let mut world = become_(Instance::Idle);
-                        let late_piece = counts.get("survey") == Some(&2);
-                        if world.write(kept.end) {
-                            world.kept.windows[window as usize].decided = Some(late_piece);
+                        let mut world = with_instance_state(Instance::Idle);
+                        let late_counts = counts.get("survey") == Some(&2);
+                        if world.compare_and_append(stored.end) {
+                            world.stored.windows[window as usize].decided = Some(late_counts);
                         }
                         all.push(world);
                     }
                     Next::Report(window, report) => {
-                        let (window, late_piece) = (window as u8, report == "2");
-                        // It is carried out and answered, or may be later.
-                        let mut answered = become_(Instance::Answered(window, kept));
-                        answered.accept(window, late_piece);
-                        let mut lost = become_(Instance::Idle);
-                        lost.late.insert((window, late_piece));
+                        let (window, late_counts) = (window as u8, report == "2");
+                        // The report is accepted and acknowledged, or the answer is lost
+                        // and it may be accepted later.
+                        let mut answered = with_instance_state(Instance::Answered(window, stored));
+                        answered.accept(window, late_counts);
+                        let mut lost = with_instance_state(Instance::Idle);
+                        lost.pending_reports.insert((window, late_counts));
                         all.extend([answered, lost]);
                     }
                 },
-                Instance::Answered(window, kept) => {
-                    let mut world = become_(Instance::Idle);
-                    if world.write(kept.end) {
-                        world.kept.reported = world.kept.reported.max(Some(window));
-                        world.kept.windows[usize::from(window)].decided = None;
+                Instance::Answered(window, stored) => {
+                    let mut world = with_instance_state(Instance::Idle);
+                    if world.compare_and_append(stored.end) {
+                        world.stored.reported = world.stored.reported.max(Some(window));
+                        world.stored.windows[usize::from(window)].decided = None;
                     }
                     all.push(world);
                 }
@@ -268,30 +274,31 @@
             all
         }
 
-        /// Appends where the log ended when it was read.
-        fn write(&mut self, end: u8) -> bool {
-            if self.kept.end != end || end >= MOST_END {
+        /// Appends if the log still ends where the instance read it. Returns
+        /// whether it did.
+        fn compare_and_append(&mut self, end: u8) -> bool {
+            if self.stored.end != end || end >= MAX_END {
                 return false;
             }
-            self.kept.end += 1;
+            self.stored.end += 1;
             true
         }
     }
 
     #[test]
-    fn no_window_is_ever_reported_in_two_ways() {
+    fn no_window_is_reported_with_two_contents() {
         let mut seen: HashSet<World> = HashSet::from([World::default()]);
-        let mut open: VecDeque<World> = seen.iter().cloned().collect();
+        let mut queue: VecDeque<World> = seen.iter().cloned().collect();
         let mut done = 0;
-        while let Some(world) = open.pop_front() {
-            done += usize::from(world.kept.reported == Some(WINDOWS as u8 - 1));
+        while let Some(world) = queue.pop_front() {
+            done += usize::from(world.stored.reported == Some(WINDOWS as u8 - 1));
             for next in world.successors() {
                 if seen.insert(next.clone()) {
-                    open.push_back(next);
+                    queue.push_back(next);
                 }
             }
         }
         println!("{} states, {done} of them with all windows reported", seen.len());
-        assert!(done > 0, "no way leads to the end");
+        assert!(done > 0, "no explored path reports all windows");
     }
 }
