--- a/crates/hollywell/src/cli/report.rs
+++ b/crates/hollywell/src/cli/report.rs
@@ -14,7 +14,7 @@
     Failure,
     ask::{AdminClient, at_arg},
 };
-use crate::report::{burns, page, scrape::Scrape, steps, traced};
+use crate::report::{burn_rates, page, scrape::Scrape, steps, traced};
 
 pub(super) fn command() -> Command {
     let directory = |name: &'static str, help: &'static str| {
@@ -130,7 +130,7 @@
         fs::write(file, page).map_err(Failure::run)?;
     }
     match args.get_flag("json") {
-        true => println!("{}", serde_json::to_string(&burns(&scrapes)).map_err(Failure::run)?),
+        true => println!("{}", serde_json::to_string(&burn_rates(&scrapes)).map_err(Failure::run)?),
         false => print!("{}", page::text(&scrapes)),
     }
     Ok(())
--- a/crates/hollywell/src/report/mod.rs
+++ b/crates/hollywell/src/report/mod.rs
@@ -24,15 +24,15 @@
 pub struct Objective {
     /// Its name.
     pub name: &'static str,
-    /// Description of bad events.
+    /// Which events are bad, as shown in the report.
     pub bad: &'static str,
-    /// Ratio of events that must be good.
+    /// Minimum ratio of good events to all events.
     pub target: f64,
     #[serde(skip)]
     count: fn(&Scrape) -> Tally,
 }
 
-/// Number of bad events and of all events.
+/// Numbers of bad events and of all events.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Tally {
     /// Bad events.
@@ -41,9 +41,9 @@
     pub all: f64,
 }
 
-/// Threshold of the latency objective in seconds, which is also a bucket of the
-/// histogram. Slower responses are bad events.
-pub const SLOW_S: f64 = 0.25;
+/// Threshold of the latency objective, in seconds. Slower answers are bad events. It
+/// must equal a bucket bound of `hollywell_answer_seconds`, from which they are counted.
+pub const LATENCY_THRESHOLD_S: f64 = 0.25;
 
 /// The objectives, in the order of the report.
 pub const OBJECTIVES: [Objective; 3] = [
@@ -74,7 +74,8 @@
 }
 
 fn slow_answers(scrape: &Scrape) -> Tally {
-    let (fast, all) = scrape.histogram("hollywell_answer_seconds", "class", "target", SLOW_S);
+    let (fast, all) =
+        scrape.histogram("hollywell_answer_seconds", "class", "target", LATENCY_THRESHOLD_S);
     Tally { bad: all - fast, all }
 }
 
@@ -84,19 +85,19 @@
     Tally { bad: unknown, all: unknown + answers("target") + answers("not-run") }
 }
 
-/// A pair of windows and the burn rate at which they alarm.
+/// A long and a short window, and the burn rate that triggers an alarm.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Windows {
     /// The long window, in seconds.
     pub long_s: u64,
     /// The short window, in seconds.
     pub short_s: u64,
-    /// Burn rate at which both windows must burn for an alarm.
+    /// Alarm threshold: the minimum burn rate over both windows.
     pub alarm: f64,
 }
 
-/// The usual window pairs for an error budget of 30 days: an alarm if 2% of it are
-/// used in 1 h, or 5% in 6 h.
+/// The usual window pairs for an error budget of 30 days: they alarm when 2% of it is
+/// used up within 1 h, or 5% within 6 h.
 pub const WINDOWS: [Windows; 2] = [
     Windows { long_s: 3_600, short_s: 300, alarm: 14.4 },
     Windows { long_s: 21_600, short_s: 1_800, alarm: 6.0 },
@@ -104,7 +105,7 @@
 
 /// Burn rates of one objective over one pair of windows.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Burn {
+pub struct BurnRates {
     /// The objective's name.
     pub objective: &'static str,
     /// The windows.
@@ -124,7 +125,7 @@
 /// # Example
 ///
 /// ```
-/// use hollywell::report::{burns, scrape::Scrape};
+/// use hollywell::report::{burn_rates, scrape::Scrape};
 ///
 /// let text = |late: u32, whole: u32| format!(
 ///     "hollywell_steps_total{{result=\"late\"}} {late}\n\
@@ -136,20 +137,20 @@
 ///     // The instance was restarted, which reset its counters.
 ///     Scrape::parse(3_500, "h1", &text(2, 8))?,
 /// ];
-/// let steps = &burns(&scrapes)[0];
+/// let steps = &burn_rates(&scrapes)[0];
 /// assert_eq!((steps.long.bad, steps.long.all), (2.0, 100.0));
 /// assert!((steps.long_burn - 2.0).abs() < 1e-9);
 /// # Ok::<(), std::io::Error>(())
 /// ```
 #[must_use]
-pub fn burns(scrapes: &[Scrape]) -> Vec<Burn> {
+pub fn burn_rates(scrapes: &[Scrape]) -> Vec<BurnRates> {
     let end = scrapes.iter().map(|scrape| scrape.at_s).max().unwrap_or_default();
     let compute = |objective: &Objective, windows: Windows| {
         let long = tally(scrapes, objective, end.saturating_sub(windows.long_s), end);
         let short = tally(scrapes, objective, end.saturating_sub(windows.short_s), end);
-        let (long_burn, short_burn) = (burn(objective, long), burn(objective, short));
+        let (long_burn, short_burn) = (burn_rate(objective, long), burn_rate(objective, short));
         let alarms = long_burn >= windows.alarm && short_burn >= windows.alarm;
-        Burn { objective: objective.name, windows, long, long_burn, short_burn, alarms }
+        BurnRates { objective: objective.name, windows, long, long_burn, short_burn, alarms }
     };
     OBJECTIVES
         .iter()
@@ -157,33 +158,35 @@
         .collect()
 }
 
-fn burn(objective: &Objective, tally: Tally) -> f64 {
+/// Returns the burn rate for a tally, or 0 if there were no events.
+fn burn_rate(objective: &Objective, tally: Tally) -> f64 {
     match tally.all > 0.0 {
         true => tally.bad / tally.all / (1.0 - objective.target),
         false => 0.0,
     }
 }
 
-/// Counts the events of all instances between two times by the increase of their
-/// counters. A counter that decreased was reset by a restart and counts from zero.
+/// Counts the events of all instances after `from_s` and up to `to_s`, by the increase
+/// of their counters. The increase between two scrapes counts at the time of the later
+/// one. A counter that decreased was reset by a restart and counts from zero.
 fn tally(scrapes: &[Scrape], objective: &Objective, from_s: u64, to_s: u64) -> Tally {
     let mut total = Tally::default();
     let mut instances: Vec<&str> = scrapes.iter().map(|scrape| scrape.instance.as_str()).collect();
     instances.sort_unstable();
     instances.dedup();
     for instance in instances {
-        let mut of_instance: Vec<&Scrape> =
+        let mut history: Vec<&Scrape> =
             scrapes.iter().filter(|scrape| scrape.instance == instance).collect();
-        of_instance.sort_by_key(|scrape| scrape.at_s);
-        for pair in of_instance.windows(2) {
+        history.sort_by_key(|scrape| scrape.at_s);
+        for pair in history.windows(2) {
             if pair[1].at_s <= from_s || pair[1].at_s > to_s {
                 continue;
             }
-            let (before, after) = ((objective.count)(pair[0]), (objective.count)(pair[1]));
-            let was_reset = after.all < before.all || after.bad < before.bad;
-            let before = if was_reset { Tally::default() } else { before };
-            total.bad += after.bad - before.bad;
-            total.all += after.all - before.all;
+            let (earlier, later) = ((objective.count)(pair[0]), (objective.count)(pair[1]));
+            let was_reset = later.all < earlier.all || later.bad < earlier.bad;
+            let earlier = if was_reset { Tally::default() } else { earlier };
+            total.bad += later.bad - earlier.bad;
+            total.all += later.all - earlier.all;
         }
     }
     total
@@ -192,13 +195,17 @@
 /// Returns the burn rate of an objective at each scrape time, over windows of
 /// `window_s` seconds.
 #[must_use]
-pub fn burn_series(scrapes: &[Scrape], objective: &Objective, window_s: u64) -> Vec<(u64, f64)> {
+pub fn burn_rate_series(
+    scrapes: &[Scrape],
+    objective: &Objective,
+    window_s: u64,
+) -> Vec<(u64, f64)> {
     let mut times: Vec<u64> = scrapes.iter().map(|scrape| scrape.at_s).collect();
     times.sort_unstable();
     times.dedup();
     let at = |time: u64| {
         let window = tally(scrapes, objective, time.saturating_sub(window_s), time);
-        (time, burn(objective, window))
+        (time, burn_rate(objective, window))
     };
     times.into_iter().map(at).collect()
 }
--- a/crates/hollywell/src/report/page.rs
+++ b/crates/hollywell/src/report/page.rs
@@ -10,7 +10,7 @@
     style::{BLUE, RED, WHITE},
 };
 
-use super::{OBJECTIVES, WINDOWS, burn_series, burns, scrape::Scrape};
+use super::{OBJECTIVES, WINDOWS, burn_rate_series, burn_rates, scrape::Scrape};
 
 /// Width and height of a plot, in pixels.
 const PLOT_SIZE: (u32, u32) = (720, 220);
@@ -19,13 +19,14 @@
 #[must_use]
 pub fn text(scrapes: &[Scrape]) -> String {
     let mut out = String::new();
-    let _written = writeln!(
+    // Writing to a string cannot fail.
+    let _infallible = writeln!(
         out,
         "{:<20} {:>8} {:>8} {:>9} {:>9} {:>10} {:>10}  alarm",
         "objective", "long", "short", "bad", "all", "long burn", "short burn"
     );
-    for burn in burns(scrapes) {
-        let _written = writeln!(
+    for burn in burn_rates(scrapes) {
+        let _infallible = writeln!(
             out,
             "{:<20} {:>7}m {:>7}m {:>9.0} {:>9.0} {:>10.2} {:>10.2}  {}",
             burn.objective,
@@ -59,7 +60,7 @@
          <table><tr><th>objective</th><th>windows</th><th>bad</th><th>all</th>\
          <th>long burn</th><th>short burn</th><th>alarm at</th></tr>",
     );
-    for burn in burns(scrapes) {
+    for burn in burn_rates(scrapes) {
         let class = if burn.alarms { " class=\"alarm\"" } else { "" };
         write!(
             page,
@@ -86,18 +87,20 @@
             objective.target * 100.0,
             WINDOWS[0].short_s / 60
         )?;
-        page.push_str(&plot(&burn_series(scrapes, objective, WINDOWS[0].short_s))?);
+        page.push_str(&plot(&burn_rate_series(scrapes, objective, WINDOWS[0].short_s))?);
     }
     page.push_str("</body></html>\n");
     Ok(page)
 }
 
+/// Plots burn rates over time, with the alarm threshold of the first window pair, as
+/// an SVG image.
 fn plot(series: &[(u64, f64)]) -> Result<String, Box<dyn std::error::Error>> {
     let alarm = WINDOWS[0].alarm;
     let first = series.first().map_or(0, |(at, _)| *at);
     let minutes = |at: u64| at.saturating_sub(first) as f64 / 60.0;
-    let last = series.last().map_or(1.0, |(at, _)| minutes(*at)).max(1.0);
-    let top = series.iter().map(|(_, burn)| *burn).fold(alarm, f64::max) * 1.1;
+    let x_max = series.last().map_or(1.0, |(at, _)| minutes(*at)).max(1.0);
+    let y_max = series.iter().map(|(_, burn)| *burn).fold(alarm, f64::max) * 1.1;
     let mut svg = String::new();
     {
         let area = SVGBackend::with_string(&mut svg, PLOT_SIZE).into_drawing_area();
@@ -106,11 +109,11 @@
             .margin(10)
             .x_label_area_size(30)
             .y_label_area_size(45)
-            .build_cartesian_2d(0.0..last, 0.0..top)?;
+            .build_cartesian_2d(0.0..x_max, 0.0..y_max)?;
         chart.configure_mesh().x_desc("minutes").y_desc("burn").draw()?;
         let points = series.iter().map(|(at, burn)| (minutes(*at), *burn));
         chart.draw_series(LineSeries::new(points, &BLUE))?;
-        chart.draw_series(LineSeries::new([(0.0, alarm), (last, alarm)], &RED))?;
+        chart.draw_series(LineSeries::new([(0.0, alarm), (x_max, alarm)], &RED))?;
         area.present()?;
     }
     Ok(svg)
--- a/crates/hollywell/src/report/scrape.rs
+++ b/crates/hollywell/src/report/scrape.rs
@@ -25,8 +25,8 @@
     /// If a line is invalid.
     pub fn parse(at_s: u64, instance: &str, text: &str) -> io::Result<Scrape> {
         let lines = text.lines().map(|line| Ok(line.to_owned()));
-        let scraped = prometheus_parse::Scrape::parse(lines)?;
-        Ok(Scrape { at_s, instance: instance.to_owned(), samples: scraped.samples })
+        let parsed = prometheus_parse::Scrape::parse(lines)?;
+        Ok(Scrape { at_s, instance: instance.to_owned(), samples: parsed.samples })
     }
 
     /// Returns the path of a scrape in a directory: `{at_s}-{instance}.prom`.
@@ -39,7 +39,8 @@
     ///
     /// # Errors
     ///
-    /// If a file cannot be read, or its name has not the form of [`Scrape::path`].
+    /// If a file cannot be read, its name does not have the form of
+    /// [`Scrape::path`], or its content is invalid.
     pub fn load_all(directory: &Path) -> io::Result<Vec<Scrape>> {
         let mut scrapes = vec![];
         for entry in fs::read_dir(directory)? {
@@ -52,7 +53,10 @@
                 .split_once('-')
                 .and_then(|(at, instance)| at.parse::<u64>().ok().map(|at_s| (at_s, instance)));
             let Some((at_s, instance)) = parts else {
-                let text = format!("{}: not named SECONDS-INSTANCE.prom", path.display());
+                let text = format!(
+                    "{}: expected a file name of the form SECONDS-INSTANCE.prom",
+                    path.display()
+                );
                 return Err(io::Error::new(io::ErrorKind::InvalidData, text));
             };
             scrapes.push(Scrape::parse(at_s, instance, &fs::read_to_string(&path)?)?);
@@ -83,8 +87,8 @@
         else {
             return (0.0, 0.0);
         };
-        let below = counts.iter().rfind(|count| count.less_than <= bound);
+        let up_to_bound = counts.iter().rfind(|count| count.less_than <= bound);
         let all = counts.iter().map(|count| count.count).fold(0.0, f64::max);
-        (below.map_or(0.0, |count| count.count), all)
+        (up_to_bound.map_or(0.0, |count| count.count), all)
     }
 }
--- a/crates/hollywell/src/report/steps.rs
+++ b/crates/hollywell/src/report/steps.rs
@@ -3,8 +3,8 @@
 //! A step ends with its last sample, so the breakdown follows that sample: until it
 //! starts; while it runs, divided into the time on an idle engine and the excess;
 //! until its result is listed; and until the trainer has read it and ends the step.
-//! The logs must have level debug, and each line must be prefixed by seconds and
-//! instance, as log collectors do: `41.2 h1
+//! The logs must be written at level debug, and each line must be prefixed with its time
+//! in seconds and its instance, as log collectors do: `41.2 h1
 //! {"level":"DEBUG",...,"message":"..."}`.
 //!
 //! Steps without an end or without a complete sample are left out. The report does
@@ -18,15 +18,15 @@
 
 use serde::Deserialize;
 
-/// Minimum number of events of a run from which an engine's speed is derived.
-/// Shorter runs mostly wait.
+/// Minimum number of events of a run that counts for the speed of an idle engine. Shorter
+/// runs spend most of their time waiting.
 const MIN_EVENTS: u64 = 20;
-/// Quantile of the time per event that is taken as that of an idle engine.
+/// Quantile of the times per event that is taken as the time on an idle engine.
 const IDLE_QUANTILE: f64 = 0.05;
-/// Ratio of started samples for [`Step::most_begun`].
-const MOST_BEGUN: f64 = 0.9;
+/// Quantile of the start times of a step's samples for [`Step::most_begun`].
+const MOST_BEGUN_QUANTILE: f64 = 0.9;
 
-/// Breakdown of one step, in seconds.
+/// Breakdown of one step, in seconds. The fields are named like the printed columns.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Step {
     /// Id of its job.
@@ -35,38 +35,41 @@
     pub samples: u64,
     /// From the acceptance of the job until 90% of the samples had started.
     pub most_begun: f64,
-    /// From the acceptance of the job until the last sample started.
+    /// From the acceptance of the job until the last sample, the one listed last, started.
     pub begins: f64,
     /// Time that the last sample would have taken on an idle engine.
     pub idle: f64,
-    /// Excess over that time, due to crowded or slow engines or moves.
+    /// Excess over that time, due to overloaded or slow engines or to moves between engines.
     pub lost: f64,
     /// From the end of the last sample until its result was listed.
     pub listed: f64,
-    /// From then until the trainer ended the step.
+    /// From the listing of that result until the trainer ended the step.
     pub read: f64,
 }
 
 impl Step {
-    /// From the acceptance of the job until its end.
+    /// Time from the acceptance of the job until its end.
     #[must_use]
     pub fn total(&self) -> f64 {
         self.begins + self.idle + self.lost + self.listed + self.read
     }
 }
 
+/// The part of a JSON log line that the report reads.
 #[derive(Deserialize)]
-struct Line {
+struct LogLine {
     message: String,
 }
 
 /// A sample as found in the logs.
 #[derive(Clone, Debug, Default)]
 struct Sample {
-    began: Option<f64>,
+    started: Option<f64>,
+    /// True if it was started more than once.
     moved: bool,
     /// When its text was complete, and its number of events.
     completed: Option<(f64, u64)>,
+    /// When its result was listed.
     listed: Option<f64>,
 }
 
@@ -76,15 +79,15 @@
     samples: u64,
     accepted: Option<f64>,
     ended: Option<f64>,
-    by_index: BTreeMap<u64, Sample>,
+    samples_by_index: BTreeMap<u64, Sample>,
 }
 
-/// Reads the steps from a log, in the order of their acceptance. Lines of another
-/// form are skipped.
+/// Reads the steps from a log and returns them in the order of their acceptance. Lines
+/// that do not have the expected form are skipped.
 ///
 /// # Errors
 ///
-/// Those of the reader.
+/// If the log cannot be read.
 ///
 /// # Example
 ///
@@ -108,15 +111,15 @@
         let line = line?;
         let mut words = line.trim_start().splitn(3, ' ');
         let at = words.next().and_then(|at| at.parse::<f64>().ok());
-        let parsed = words.nth(1).and_then(|json| serde_json::from_str::<Line>(json).ok());
-        if let (Some(at), Some(Line { message })) = (at, parsed) {
+        let parsed = words.nth(1).and_then(|json| serde_json::from_str::<LogLine>(json).ok());
+        if let (Some(at), Some(LogLine { message })) = (at, parsed) {
             apply(&mut jobs, at, &message);
         }
     }
-    let idle_pace = idle_seconds_per_event(&jobs);
+    let idle_seconds = idle_seconds_per_event(&jobs);
     let mut steps: Vec<(f64, Step)> = jobs
         .iter()
-        .filter_map(|(id, job)| Some((job.accepted?, step(id, job, idle_pace)?)))
+        .filter_map(|(id, job)| Some((job.accepted?, step(id, job, idle_seconds)?)))
         .collect();
     steps.sort_by(|(a, _), (b, _)| a.total_cmp(b));
     Ok(steps.into_iter().map(|(_, step)| step).collect())
@@ -143,7 +146,7 @@
                 return;
             };
             let job = jobs.entry(id.to_owned()).or_default();
-            apply_to_sample(job.by_index.entry(index).or_default(), at, rest);
+            apply_to_sample(job.samples_by_index.entry(index).or_default(), at, rest);
         }
         _ => {}
     }
@@ -152,7 +155,7 @@
 /// Applies a log message about a sample.
 fn apply_to_sample(sample: &mut Sample, at: f64, words: &[&str]) {
     match words {
-        ["starts", "at", ..] if sample.began.is_none() => sample.began = Some(at),
+        ["starts", "at", ..] if sample.started.is_none() => sample.started = Some(at),
         ["starts", "at", ..] => sample.moved = true,
         ["at", _, "Whole,", events, "events"] if sample.completed.is_none() => {
             sample.completed = events.parse().ok().map(|events| (at, events));
@@ -167,11 +170,14 @@
 fn idle_seconds_per_event(jobs: &BTreeMap<String, Job>) -> f64 {
     let seconds_per_event = |sample: &Sample| {
         let (completed, events) = sample.completed?;
-        let began = sample.began.filter(|_| !sample.moved && events >= MIN_EVENTS)?;
-        Some((completed - began) / events as f64)
+        let started = sample.started.filter(|_| !sample.moved && events >= MIN_EVENTS)?;
+        Some((completed - started) / events as f64)
     };
-    let mut all: Vec<f64> =
-        jobs.values().flat_map(|job| job.by_index.values()).filter_map(seconds_per_event).collect();
+    let mut all: Vec<f64> = jobs
+        .values()
+        .flat_map(|job| job.samples_by_index.values())
+        .filter_map(seconds_per_event)
+        .collect();
     quantile(&mut all, IDLE_QUANTILE)
 }
 
@@ -182,23 +188,28 @@
     values.get(at.min(values.len().saturating_sub(1))).copied().unwrap_or(0.0)
 }
 
+/// Returns the breakdown of a job's step, or `None` if its end or a complete sample is
+/// missing. Samples that were listed after the end do not count.
 fn step(id: &str, job: &Job, idle_seconds_per_event: f64) -> Option<Step> {
     let (accepted, ended) = (job.accepted?, job.ended?);
-    let counted = |sample: &&Sample| sample.listed.is_some_and(|listed| listed <= ended);
-    let last = job.by_index.values().filter(counted);
+    let listed_in_time = |sample: &&Sample| sample.listed.is_some_and(|listed| listed <= ended);
+    let last = job.samples_by_index.values().filter(listed_in_time);
     let last = last.max_by(|a, b| a.listed.unwrap_or(0.0).total_cmp(&b.listed.unwrap_or(0.0)))?;
-    let (began, listed) = (last.began?, last.listed?);
+    let (started, listed) = (last.started?, last.listed?);
     let (completed, events) = last.completed?;
-    let mut begun: Vec<f64> =
-        job.by_index.values().filter_map(|sample| Some(sample.began? - accepted)).collect();
+    let mut start_delays: Vec<f64> = job
+        .samples_by_index
+        .values()
+        .filter_map(|sample| Some(sample.started? - accepted))
+        .collect();
     let idle = events as f64 * idle_seconds_per_event;
     Some(Step {
         job: id.to_owned(),
         samples: job.samples,
-        most_begun: quantile(&mut begun, MOST_BEGUN),
-        begins: began - accepted,
+        most_begun: quantile(&mut start_delays, MOST_BEGUN_QUANTILE),
+        begins: started - accepted,
         idle,
-        lost: completed - began - idle,
+        lost: completed - started - idle,
         listed: listed - completed,
         read: ended - listed,
     })
@@ -212,8 +223,7 @@
         "job               samples  most begun  begins  idle  lost  listed  read  total\n",
     );
     for step in steps {
-        let all = columns(step);
-        row(&mut out, &step.job, &step.samples.to_string(), all);
+        row(&mut out, &step.job, &step.samples.to_string(), columns(step));
     }
     for (name, ratio) in [("p50", 0.5), ("p90", 0.9)] {
         let column = |at: usize| {
@@ -225,6 +235,7 @@
     out
 }
 
+/// Returns the values of the columns after `samples`.
 fn columns(step: &Step) -> [f64; 7] {
     let total = step.total();
     [step.most_begun, step.begins, step.idle, step.lost, step.listed, step.read, total]
--- a/crates/hollywell/src/report/traced.rs
+++ b/crates/hollywell/src/report/traced.rs
@@ -1,12 +1,12 @@
-//! Reconstructs metrics for the report from a recorded trace, by the reducer's
-//! effects.
+//! Reconstructs metrics for the report from a recorded trace, by counting the effects
+//! that the reducer returns when the trace is replayed.
 
 use std::{
     collections::BTreeMap,
     io::{self, BufRead},
 };
 
-use super::{SLOW_S, scrape::Scrape};
+use super::{LATENCY_THRESHOLD_S, scrape::Scrape};
 use crate::{
     core::{
         effect::{Effect, Reply},
@@ -21,14 +21,21 @@
 /// Interval of the reconstructed scrapes, in milliseconds.
 const SCRAPE_INTERVAL_MS: u64 = 1_000;
 
+/// Counters of the reconstructed metrics.
 #[derive(Debug, Default)]
 struct Counts {
+    /// Requests without a reply, with their arrival times.
     arrived: BTreeMap<Request, Time>,
-    whole: u64,
+    /// Steps that ended with all samples.
+    complete: u64,
+    /// Steps whose deadline passed.
     late: u64,
+    /// Answers within [`LATENCY_THRESHOLD_S`].
     fast: u64,
     answered: u64,
+    /// Refusals that state that the request was not run.
     not_run: u64,
+    /// Refusals that cannot state whether the request was run.
     unknown: u64,
 }
 
@@ -39,7 +46,7 @@
         }
         for effect in effects {
             match effect {
-                Effect::EndStep { missing: 0, .. } => self.whole += 1,
+                Effect::EndStep { missing: 0, .. } => self.complete += 1,
                 Effect::EndStep { reason: Some(Kind::DeadlinePassed), .. } => self.late += 1,
                 Effect::Reply { request, reply, .. } => self.record_reply(now, *request, reply),
                 _ => {}
@@ -54,8 +61,8 @@
         match reply {
             Reply::Stored(_) | Reply::Relayed => {
                 self.answered += 1;
-                let took_s = now.since(arrived) as f64 / 1_000.0;
-                self.fast += u64::from(took_s <= SLOW_S);
+                let elapsed_s = now.since(arrived) as f64 / 1_000.0;
+                self.fast += u64::from(elapsed_s <= LATENCY_THRESHOLD_S);
             }
             Reply::Refused(kind) => match kind.answer().outcome {
                 Outcome::NotRun => self.not_run += 1,
@@ -65,22 +72,24 @@
         }
     }
 
+    /// Formats the counters in the Prometheus exposition format.
     fn text(&self) -> String {
-        let Counts { whole, late, fast, answered, not_run, unknown, .. } = self;
+        let Counts { complete, late, fast, answered, not_run, unknown, .. } = self;
         format!(
             "# TYPE hollywell_answer_seconds histogram\n\
-             hollywell_steps_total{{result=\"whole\"}} {whole}\n\
+             hollywell_steps_total{{result=\"whole\"}} {complete}\n\
              hollywell_steps_total{{result=\"late\"}} {late}\n\
              hollywell_answers_total{{class=\"target\"}} {answered}\n\
              hollywell_answers_total{{class=\"not-run\"}} {not_run}\n\
              hollywell_answers_total{{class=\"unknown\"}} {unknown}\n\
-             hollywell_answer_seconds_bucket{{class=\"target\",le=\"{SLOW_S}\"}} {fast}\n\
+             hollywell_answer_seconds_bucket{{class=\"target\",le=\"{LATENCY_THRESHOLD_S}\"}} {fast}\n\
              hollywell_answer_seconds_bucket{{class=\"target\",le=\"+Inf\"}} {answered}\n"
         )
     }
 }
 
-/// Converts a trace into scrapes, one for each second of it.
+/// Converts a trace into scrapes, at most one for each second, and one of the state
+/// at its end.
 ///
 /// # Errors
 ///
@@ -88,11 +97,11 @@
 pub fn scrapes(trace: impl BufRead) -> io::Result<Vec<Scrape>> {
     let mut counts = Counts::default();
     let mut texts = vec![];
-    let mut due = Time(0);
+    let mut next_scrape = Time(0);
     trace::replay_each(trace, |now, event, effects| {
-        if now >= due {
+        if now >= next_scrape {
             texts.push((now.0 / 1_000, counts.text()));
-            due = now.after(SCRAPE_INTERVAL_MS);
+            next_scrape = now.after(SCRAPE_INTERVAL_MS);
         }
         counts.record(now, event, effects);
     })?;
--- a/crates/hollywell/tests/traces.rs
+++ b/crates/hollywell/tests/traces.rs
@@ -9,7 +9,7 @@
 
 use hollywell::{
     prelude::{Effect, Reply},
-    report::{burns, traced::scrapes},
+    report::{burn_rates, traced::scrapes},
     trace::replay,
 };
 use serde::{Deserialize, Serialize};
@@ -92,7 +92,7 @@
     let trace = File::open(directory.join("step-and-calls.jsonl")).expect("the trace is there");
     let scrapes = scrapes(BufReader::new(trace)).expect("the trace can be read");
     let of = |name: &str| {
-        let burns = burns(&scrapes).into_iter();
+        let burns = burn_rates(&scrapes).into_iter();
         burns
             .filter(|burn| burn.objective == name)
             .map(|burn| (burn.long.bad, burn.long.all))
