--- a/crates/hollywell/src/cli/ask.rs
+++ b/crates/hollywell/src/cli/ask.rs
@@ -1,4 +1,4 @@
-//! HTTP client for a running instance.
+//! HTTP client for the administrative endpoints of a running instance.
 
 use std::time::Duration;
 
@@ -9,21 +9,21 @@
 use super::Failure;
 use crate::{http::Client, view::View};
 
-/// Timeout of a request.
-const TIMEOUT: Duration = Duration::from_secs(10);
+/// Maximum time from sending a request until its response is complete.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(10);
 /// Maximum size of a response, in bytes.
 const MAX_RESPONSE_BYTES: usize = 64 << 20;
 
-/// Returns the argument that names the instance.
-pub(super) fn at_arg() -> Arg {
+/// Returns the argument `--at`, the address of the instance to connect to.
+pub(super) fn address_arg() -> Arg {
     Arg::new("at")
         .long("at")
         .value_name("ADDRESS")
-        .help("Address and port of any instance, as 127.0.0.1:8080")
+        .help("Address and port of any instance, for example 127.0.0.1:8080")
         .required(true)
 }
 
-/// Client of the instance that the arguments name.
+/// Blocking client of the instance at the address given by `--at`.
 pub(super) struct AdminClient {
     runtime: tokio::runtime::Runtime,
     client: Client,
@@ -41,7 +41,7 @@
     }
 
     pub(super) fn get(&self, path: &str) -> Result<Response<Bytes>, Failure> {
-        let exchange = self.client.get(&self.address, path, MAX_RESPONSE_BYTES, TIMEOUT);
+        let exchange = self.client.get(&self.address, path, MAX_RESPONSE_BYTES, REQUEST_TIMEOUT);
         self.runtime.block_on(exchange).map_err(|error| self.failure(&error))
     }
 
@@ -51,7 +51,8 @@
         body: &impl serde::Serialize,
     ) -> Result<Response<Bytes>, Failure> {
         let body = serde_json::to_vec(body).map_err(Failure::run)?;
-        let exchange = self.client.post(&self.address, path, body, MAX_RESPONSE_BYTES, TIMEOUT);
+        let exchange =
+            self.client.post(&self.address, path, body, MAX_RESPONSE_BYTES, REQUEST_TIMEOUT);
         self.runtime.block_on(exchange).map_err(|error| self.failure(&error))
     }
 
--- a/crates/hollywell/src/cli/mod.rs
+++ b/crates/hollywell/src/cli/mod.rs
@@ -38,14 +38,14 @@
     }
 }
 
-/// Runs the command given by the process's arguments.
+/// Runs the command given by the process's arguments and returns its exit code.
 #[must_use]
 pub fn run(adapter: &Adapter) -> ExitCode {
     let matches = match command().try_get_matches() {
         Ok(matches) => matches,
         Err(error) => {
-            // A closed terminal cannot be reported anywhere.
-            let _closed = error.print();
+            // If the output is closed, the failure to print cannot be reported either.
+            let _ignored = error.print();
             let code = if error.use_stderr() { EXIT_INPUT } else { 0 };
             return ExitCode::from(code);
         }
@@ -82,7 +82,7 @@
         .arg_required_else_help(true)
         .subcommand(
             Command::new("serve")
-                .about("Run an entry instance until SIGTERM; it then hands over and exits")
+                .about("Run an entry instance until SIGTERM; it then hands off its work and exits")
                 .arg(config_arg()),
         )
         .subcommand(
@@ -91,12 +91,14 @@
                 .arg(
                     config_arg()
                         .required(false)
-                        .help("Settings file (INI); the platform's if absent"),
+                        .help("Settings file (INI); by default the path that the platform gives"),
                 ),
         )
         .subcommand(
             Command::new("check")
-                .about("Check a settings file and print every fault; exit code 2 if there is one")
+                .about(
+                    "Validate a settings file and print all errors; exit code 2 if there are any",
+                )
                 .arg(config_arg()),
         )
         .subcommand(table::command())
@@ -115,6 +117,7 @@
         .value_parser(value_parser!(PathBuf))
 }
 
+/// Loads the settings file, or returns all its errors, one per line.
 fn load(args: &ArgMatches) -> Result<crate::settings::Settings, Failure> {
     let path = args.get_one::<PathBuf>("config").cloned().unwrap_or_default();
     crate::settings::Settings::load(&path).map_err(|faults| {
@@ -132,7 +135,9 @@
 fn enter(adapter: &Adapter, args: &ArgMatches) -> Result<(), Failure> {
     let given = args.get_one::<PathBuf>("config").cloned();
     let path = given.or_else(adapter.settings_path).ok_or_else(|| {
-        Failure::Input(String::from("no settings file: neither --config nor the platform's"))
+        Failure::Input(String::from(
+            "no settings file: --config is missing and the platform gives no path",
+        ))
     })?;
     let settings = crate::entry::settings::Settings::load(&path).map_err(|faults| {
         let lines: Vec<String> = faults.iter().map(ToString::to_string).collect();
--- a/crates/hollywell/src/cli/report.rs
+++ b/crates/hollywell/src/cli/report.rs
@@ -1,4 +1,5 @@
-//! `hollywell report`: collects scrapes and prints burn rates and step breakdowns.
+//! `hollywell report`: collects scrapes of metrics, and prints burn rates and the
+//! breakdown of steps.
 
 use std::{
     fs,
@@ -12,7 +13,7 @@
 
 use super::{
     Failure,
-    ask::{AdminClient, at_arg},
+    ask::{AdminClient, address_arg},
 };
 use crate::report::{burn_rates, page, scrape::Scrape, steps, traced};
 
@@ -34,27 +35,27 @@
         .arg_required_else_help(true)
         .subcommand(
             Command::new("collect")
-                .about("Scrape one instance now and then into a directory")
-                .arg(at_arg())
-                .arg(directory("into", "Directory of scrapes").required(true))
-                .arg(number("every-s", "15", "Seconds between scrapes"))
-                .arg(number("times", "1", "Scrapes to make")),
+                .about("Scrape the metrics of one instance periodically into a directory")
+                .arg(address_arg())
+                .arg(directory("into", "Directory to which the scrapes are written").required(true))
+                .arg(number("every-s", "15", "Interval between scrapes, in seconds"))
+                .arg(number("times", "1", "Number of scrapes")),
         )
         .subcommand(
             Command::new("steps")
-                .about("Show what the time of steps is made of, from logs of level debug")
+                .about("Break down the duration of steps, from logs at level debug")
                 .arg(
                     Arg::new("log")
                         .value_name("FILE")
-                        .help("Lines of all instances: seconds, instance, the line as written")
+                        .help("Log of all instances; each line is the time in seconds, the instance and the JSON line")
                         .required(true)
                         .value_parser(value_parser!(PathBuf)),
                 )
-                .arg(Arg::new("job").long("job").value_name("ID").help("This job only")),
+                .arg(Arg::new("job").long("job").value_name("ID").help("Show only this job")),
         )
         .subcommand(
             Command::new("show")
-                .about("Work the burn out of scrapes or of a recorded trace")
+                .about("Compute burn rates from scrapes or from a recorded trace")
                 .arg(
                     directory("from", "Directory of scrapes, named SECONDS-INSTANCE.prom")
                         .required_unless_present("trace"),
@@ -63,7 +64,7 @@
                     Arg::new("trace")
                         .long("trace")
                         .value_name("TRACE")
-                        .help("Trace as recorded by serve, instead of scrapes")
+                        .help("Trace recorded by serve, instead of scrapes")
                         .conflicts_with("from")
                         .value_parser(value_parser!(PathBuf)),
                 )
@@ -77,7 +78,7 @@
                     Arg::new("html")
                         .long("html")
                         .value_name("FILE")
-                        .help("Write a page with plots as well")
+                        .help("Also write an HTML page with plots to FILE")
                         .value_parser(value_parser!(PathBuf)),
                 ),
         )
@@ -93,9 +94,9 @@
 }
 
 fn collect(args: &ArgMatches) -> Result<(), Failure> {
-    let into = args.get_one::<PathBuf>("into").cloned().unwrap_or_default();
+    let directory = args.get_one::<PathBuf>("into").cloned().unwrap_or_default();
     let number = |name: &str| args.get_one::<u64>(name).copied().unwrap_or(1);
-    fs::create_dir_all(&into).map_err(Failure::run)?;
+    fs::create_dir_all(&directory).map_err(Failure::run)?;
     let admin = AdminClient::new(args)?;
     let instance = admin.view()?.instance.name;
     for scrape in 0..number("times") {
@@ -103,8 +104,8 @@
             sleep(Duration::from_secs(number("every-s")));
         }
         let metrics = admin.get("/metrics")?;
-        let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        let path = Scrape::path(&into, since.as_secs(), &instance);
+        let unix_time = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        let path = Scrape::path(&directory, unix_time.as_secs(), &instance);
         fs::write(&path, metrics.body()).map_err(Failure::run)?;
         println!("{}", path.display());
     }
@@ -113,9 +114,9 @@
 
 fn show_steps(args: &ArgMatches) -> Result<(), Failure> {
     let path = args.get_one::<PathBuf>("log").cloned().unwrap_or_default();
-    let in_file = |error| Failure::Input(format!("{}: {error}", path.display()));
-    let log = BufReader::new(fs::File::open(&path).map_err(in_file)?);
-    let mut steps = steps::read(log).map_err(in_file)?;
+    let with_path = |error| Failure::Input(format!("{}: {error}", path.display()));
+    let log = BufReader::new(fs::File::open(&path).map_err(with_path)?);
+    let mut steps = steps::read(log).map_err(with_path)?;
     if let Some(job) = args.get_one::<String>("job") {
         steps.retain(|step| step.job == *job);
     }
@@ -139,11 +140,11 @@
 fn scrapes(args: &ArgMatches) -> Result<Vec<Scrape>, Failure> {
     let path = |name: &str| args.get_one::<PathBuf>(name);
     if let Some(trace) = path("trace") {
-        let in_file = |error| Failure::Input(format!("{}: {error}", trace.display()));
-        let file = BufReader::new(fs::File::open(trace).map_err(in_file)?);
-        return traced::scrapes(file).map_err(in_file);
+        let with_path = |error| Failure::Input(format!("{}: {error}", trace.display()));
+        let file = BufReader::new(fs::File::open(trace).map_err(with_path)?);
+        return traced::scrapes(file).map_err(with_path);
     }
     let from = path("from").cloned().unwrap_or_default();
-    let in_file = |error| Failure::Input(format!("{}: {error}", from.display()));
-    Scrape::load_all(&from).map_err(in_file)
+    let with_path = |error| Failure::Input(format!("{}: {error}", from.display()));
+    Scrape::load_all(&from).map_err(with_path)
 }
--- a/crates/hollywell/src/cli/status.rs
+++ b/crates/hollywell/src/cli/status.rs
@@ -1,21 +1,24 @@
-//! `hollywell status`: prints an instance's view of its state.
+//! `hollywell status`: prints the state of an instance, and of its peers and targets as
+//! it sees them.
 
 use clap::{Arg, ArgAction, ArgMatches, Command};
 
 use super::{
     Failure,
-    ask::{AdminClient, at_arg},
+    ask::{AdminClient, address_arg},
 };
 use crate::view::View;
 
 pub(super) fn command() -> Command {
     Command::new("status")
-        .about("Show instances, targets, versions served, the offset in force and leases")
-        .arg(at_arg())
+        .about(
+            "Show instances, targets with the versions they serve, the applied offset and leases",
+        )
+        .arg(address_arg())
         .arg(
             Arg::new("json")
                 .long("json")
-                .help("Print everything as one JSON object")
+                .help("Print the whole view as one JSON object")
                 .action(ArgAction::SetTrue),
         )
 }
@@ -64,6 +67,7 @@
         );
     }
     println!("\n{:<16} {:<24} {:>8}  key owners (epoch)", "domain", "orders lease", "fence");
+    // One lease per failure domain, under which its holder sends orders to load weights.
     for (domain, map) in &view.maps {
         let lease = view.leases.get(domain);
         let holder = lease.map_or(String::from("-"), |grant| grant.holder.to_string());
--- a/crates/hollywell/src/cli/table.rs
+++ b/crates/hollywell/src/cli/table.rs
@@ -15,27 +15,29 @@
 
 use super::{
     Failure,
-    ask::{AdminClient, at_arg},
+    ask::{AdminClient, address_arg},
 };
 use crate::{
     core::table::{Edit, Outcome, Row},
     view::{View, ViewedRow},
 };
 
-/// Columns of the CSV format.
+/// Columns of the CSV format. The last one, the revision, is optional.
 const COLUMNS: [&str; 6] = ["trainer", "weight", "staleness", "priority", "in_flight", "revision"];
-/// Maximum time for which `--wait` waits until all instances apply a change.
+/// Time after which `--wait` fails if a live instance has not applied the change.
 const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
+/// Interval between polls of `--wait`.
+const WAIT_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 pub(super) fn command() -> Command {
     let by = Arg::new("by")
         .long("by")
         .value_name("NAME")
-        .help("Who makes the change; other operators see it")
+        .help("Name of the operator who makes the change, shown in the history")
         .required(true);
     let wait = Arg::new("wait")
         .long("wait")
-        .help("Return once the change is in force at every live instance")
+        .help("Return once every live instance has applied the change")
         .action(ArgAction::SetTrue);
     let number = |name: &'static str, help: &'static str| {
         Arg::new(name).long(name).value_name("N").help(help).value_parser(value_parser!(u32))
@@ -44,34 +46,39 @@
         .about("Show and change the table of trainers")
         .subcommand_required(true)
         .arg_required_else_help(true)
-        .subcommand(Command::new("show").about("Print the table").arg(at_arg()))
-        .subcommand(Command::new("export").about("Print the table as CSV").arg(at_arg()))
-        .subcommand(Command::new("history").about("Print recent changes").arg(at_arg()))
+        .subcommand(Command::new("show").about("Print the table").arg(address_arg()))
+        .subcommand(Command::new("export").about("Print the table as CSV").arg(address_arg()))
+        .subcommand(Command::new("history").about("Print recent changes").arg(address_arg()))
         .subcommand(
             Command::new("import")
-                .about("Change the rows that differ from a CSV file made by export")
-                .arg(at_arg())
+                .about("Apply the rows of a CSV file, made by export, that differ from the table")
+                .arg(address_arg())
                 .arg(by.clone())
                 .arg(wait.clone())
                 .arg(
                     Arg::new("file")
                         .value_name("FILE")
-                        .help("The CSV file, - for standard input")
+                        .help("CSV file, or - for standard input")
                         .required(true)
                         .value_parser(value_parser!(PathBuf)),
                 ),
         )
         .subcommand(
             Command::new("edit")
-                .about("Set or remove one trainer's row; what is not named stays")
-                .arg(at_arg())
+                .about(
+                    "Set or remove one trainer's row; columns that are not given keep their values",
+                )
+                .arg(address_arg())
                 .arg(by)
                 .arg(wait)
                 .arg(Arg::new("trainer").value_name("TRAINER").required(true))
                 .arg(number("weight", "Share of the engines, relative to the other rows"))
-                .arg(number("staleness", "Versions that a sample may be behind the newest"))
-                .arg(number("priority", "Lower goes first, 0 to 255"))
-                .arg(number("in-flight", "Samples in flight at once at one instance"))
+                .arg(number(
+                    "staleness",
+                    "Maximum number of versions that a sample may be behind the newest",
+                ))
+                .arg(number("priority", "Priority, 0 to 255; lower numbers go first"))
+                .arg(number("in-flight", "Maximum number of samples in flight at one instance"))
                 .arg(
                     Arg::new("remove")
                         .long("remove")
@@ -141,7 +148,7 @@
 ///
 /// # Errors
 ///
-/// A message with the row and column of the first fault and the allowed values.
+/// A message with the row and column of the first error and the allowed values.
 ///
 /// # Example
 ///
@@ -149,8 +156,8 @@
 /// use hollywell::cli::table::parse_csv;
 ///
 /// let csv = "trainer,weight,staleness,priority,in_flight,revision\nrunoff,3,x,1,8,\n";
-/// let fault = parse_csv(csv.as_bytes()).unwrap_err();
-/// assert_eq!(fault, r#"row 2, column staleness: "x": allowed is 0 to 1000000"#);
+/// let error = parse_csv(csv.as_bytes()).unwrap_err();
+/// assert_eq!(error, r#"row 2, column staleness: "x": allowed is 0 to 1000000"#);
 /// ```
 pub fn parse_csv(input: impl Read) -> Result<Vec<(Row, Option<u64>)>, String> {
     let mut reader = csv::ReaderBuilder::new().trim(csv::Trim::All).from_reader(input);
@@ -182,6 +189,7 @@
     Ok(rows)
 }
 
+/// Cells of one CSV record, with its line number for error messages.
 struct Cells {
     line: usize,
     record: csv::StringRecord,
@@ -195,8 +203,8 @@
     fn number<T: TryFrom<u64>>(&self, column: usize, min: u64, max: u64) -> Result<T, String> {
         let text = self.text(column);
         let parsed = text.parse::<u64>().ok();
-        let fits = parsed.filter(|number| (min..=max).contains(number));
-        let number = fits.and_then(|number| T::try_from(number).ok());
+        let in_range = parsed.filter(|number| (min..=max).contains(number));
+        let number = in_range.and_then(|number| T::try_from(number).ok());
         number.ok_or_else(|| {
             let (line, name) = (self.line, COLUMNS[column]);
             format!("row {line}, column {name}: {text:?}: allowed is {min} to {max}")
@@ -213,7 +221,7 @@
             .map_err(|error| Failure::Input(format!("{}: {error}", path.display())))?;
         parse_csv(file)
     };
-    let rows = rows.map_err(|fault| Failure::Input(format!("{}: {fault}", path.display())))?;
+    let rows = rows.map_err(|error| Failure::Input(format!("{}: {error}", path.display())))?;
     let admin = AdminClient::new(args)?;
     let view = admin.view()?;
     let current: BTreeMap<&str, &Row> =
@@ -234,13 +242,15 @@
     let base = current.map(|row| row.revision);
     let row = match args.get_flag("remove") {
         true => None,
-        false => Some(edited(args, &trainer, current.map(|row| &row.row))?),
+        false => Some(row_from_args(args, &trainer, current.map(|row| &row.row))?),
     };
     let revision = submit(args, &admin, &trainer, row, base)?;
     wait_if_requested(args, &admin, Some(revision))
 }
 
-fn edited(args: &ArgMatches, trainer: &str, current: Option<&Row>) -> Result<Row, Failure> {
+/// Returns the current row, or the defaults of a new one, with the values that are given
+/// as arguments.
+fn row_from_args(args: &ArgMatches, trainer: &str, current: Option<&Row>) -> Result<Row, Failure> {
     let number = |name: &str| args.get_one::<u32>(name).copied();
     let mut row = current.cloned().unwrap_or(Row {
         trainer: trainer.to_owned(),
@@ -259,7 +269,8 @@
     Ok(row)
 }
 
-/// Submits one edit and returns the row's new revision.
+/// Submits one edit, based on the revision `base`, and returns the row's new revision.
+/// The id of the edit contains the process id and the time, so that it is unique.
 fn submit(
     args: &ArgMatches,
     admin: &AdminClient,
@@ -268,8 +279,8 @@
     base: Option<u64>,
 ) -> Result<u64, Failure> {
     let by = args.get_one::<String>("by").cloned().unwrap_or_default();
-    let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-    let id = format!("{by}-{}-{}-{trainer}", std::process::id(), since.as_nanos());
+    let unix_time = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+    let id = format!("{by}-{}-{}-{trainer}", std::process::id(), unix_time.as_nanos());
     let edit = Edit { id: id.clone(), by, trainer: trainer.to_owned(), base, row };
     let response = admin.post("/admin/edits", &edit)?;
     let outcome = serde_json::from_slice::<Outcome>(response.body());
@@ -280,13 +291,16 @@
         }
         (_, Ok(Outcome::Conflict { by, revision })) => {
             let current = revision.map_or(String::from("no row"), |number| number.to_string());
-            let text =
-                format!("{trainer}: conflict: {by} changed it first; revision is now {current}");
+            let text = format!(
+                "{trainer}: conflict: {by} changed the row first; its revision is now {current}"
+            );
             Err(Failure::Run(text))
         }
         (status, _) => {
             let text = String::from_utf8_lossy(response.body());
-            Err(Failure::Run(format!("{trainer}: status {status}, edit id {id}: {text}")))
+            Err(Failure::Run(format!(
+                "{trainer}: unexpected response to edit {id}: status {status}: {text}"
+            )))
         }
     }
 }
@@ -314,8 +328,10 @@
             return Ok(());
         }
         if Instant::now() > deadline {
-            return Err(Failure::Run(format!("not in force yet at: {}", behind.join(" "))));
+            let timeout_s = WAIT_TIMEOUT.as_secs();
+            let names = behind.join(" ");
+            return Err(Failure::Run(format!("not applied within {timeout_s} s at: {names}")));
         }
-        sleep(Duration::from_millis(100));
+        sleep(WAIT_POLL_INTERVAL);
     }
 }
