--- a/crates/hollywell/src/cli/replay.rs
+++ b/crates/hollywell/src/cli/replay.rs
@@ -26,7 +26,7 @@
             Arg::new("expect")
                 .long("expect")
                 .value_name("FILE")
-                .help("Expected effects, as printed by an earlier replay; the first difference is an error")
+                .help("Effects printed by an earlier replay; the first difference is an error")
                 .value_parser(value_parser!(PathBuf)),
         )
 }
--- a/crates/hollywell/src/cli/report.rs
+++ b/crates/hollywell/src/cli/report.rs
@@ -47,7 +47,7 @@
                 .arg(
                     Arg::new("log")
                         .value_name("FILE")
-                        .help("Log of all instances; each line is the time in seconds, the instance and the JSON line")
+                        .help("Log of all instances; lines of SECONDS INSTANCE JSON")
                         .required(true)
                         .value_parser(value_parser!(PathBuf)),
                 )
