--- a/crates/hollywell/tests/clock.rs
+++ b/crates/hollywell/tests/clock.rs
@@ -1,6 +1,6 @@
-//! The clock that decisions go by counts the time in which the machine was
-//! suspended. No suspension is brought about here: the kernel's own count of
-//! it is compared, and a source that jumps stands in for one.
+//! The clock used for decisions includes time in which the machine was
+//! suspended. The tests do not suspend the machine: they compare the clock with
+//! the kernel's uptime, and simulate a suspension by a time source that jumps.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -12,15 +12,15 @@
 use hollywell::clock::{Clock, since_boot};
 
 #[test]
-fn it_is_the_clock_that_the_kernel_counts_suspended_time_on() {
+fn the_clock_matches_the_kernel_s_uptime() {
     let uptime = std::fs::read_to_string("/proc/uptime").unwrap();
     let uptime: f64 = uptime.split(' ').next().unwrap().parse().unwrap();
-    let apart = (since_boot().as_secs_f64() - uptime).abs();
-    assert!(apart < 1.0, "{apart} s apart from the kernel's uptime");
+    let difference_s = (since_boot().as_secs_f64() - uptime).abs();
+    assert!(difference_s < 1.0, "the clock differs from the kernel's uptime by {difference_s} s");
 }
 
 #[test]
-fn what_was_known_before_a_suspension_has_aged_by_it() {
+fn a_lease_expires_during_a_suspension() {
     static MS: AtomicU64 = AtomicU64::new(50_000);
     let clock = Clock::reading(|| Duration::from_millis(MS.load(Ordering::Relaxed)));
     let lease_until = clock.now().after(3_000);
--- a/crates/hollywell/tests/hold.rs
+++ b/crates/hollywell/tests/hold.rs
@@ -1,29 +1,30 @@
-//! Requests that no target can take: which are held, which are rejected.
+//! Admission of requests while no target has a free slot: which are held and
+//! which are rejected.
 
 use hollywell::core::admission::{Decision, Situation, decide};
 
-/// What is known in the load patterns below, where nothing else is said.
+/// Default situation of the cases below: a full pool.
 const FULL: Situation = Situation { known: true, usable: 4, usual_ms: Some(40), left_ms: 800 };
 
-/// How long callers with 800 ms to go are held before they are told, looked at
-/// every 25 ms as the instance does.
+/// Returns how long a caller is held before it is rejected, when decided every
+/// 25 ms as the instance does.
 fn held_ms(situation: Situation) -> u64 {
-    let looks = (0..=situation.left_ms).step_by(25);
-    let told = |waited: &u64| {
+    let checks = (0..=situation.left_ms).step_by(25);
+    let is_decided = |waited: &u64| {
         decide(Situation { left_ms: situation.left_ms - waited, ..situation }) != Decision::Hold
     };
-    looks.into_iter().find(told).unwrap_or(situation.left_ms)
+    checks.into_iter().find(is_decided).unwrap_or(situation.left_ms)
 }
 
 #[test]
-fn a_pool_whose_targets_all_vanished_rejects_at_once() {
+fn a_pool_without_usable_targets_rejects_at_once() {
     assert_eq!(held_ms(Situation { usable: 0, ..FULL }), 0);
-    // Also where nobody has answered yet.
+    // The same if no target has answered yet.
     assert_eq!(held_ms(Situation { usable: 0, usual_ms: None, ..FULL }), 0);
 }
 
 #[test]
-fn an_instance_that_has_not_read_the_targets_yet_holds_its_callers() {
+fn callers_are_held_until_the_targets_are_known() {
     assert_eq!(
         decide(Situation { known: false, usable: 0, usual_ms: None, left_ms: 800 }),
         Decision::Hold
@@ -31,8 +32,8 @@
 }
 
 #[test]
-fn a_full_pool_holds_as_long_as_an_answer_may_come_in_time() {
-    // A place that comes with 40 ms or less to go comes too late.
+fn a_full_pool_holds_while_an_answer_can_still_be_in_time() {
+    // A slot that becomes free with 40 ms or less left is too late.
     assert_eq!(held_ms(FULL), 775);
     let slow = Situation { usual_ms: Some(300), ..FULL };
     assert_eq!(held_ms(slow), 500);
--- a/crates/hollywell/tests/lease.rs
+++ b/crates/hollywell/tests/lease.rs
@@ -1,4 +1,5 @@
-//! The lease on orders: who may give them, and for how long.
+//! The lease on orders to load weights: which instance may give them, and for how
+//! long.
 
 use hollywell::core::{
     id::Instance,
@@ -13,42 +14,46 @@
     Grant { holder: Instance::new(name, 1), fence: 1, renewed }
 }
 
-fn me() -> Instance {
+fn local() -> Instance {
     Instance::new("a", 1)
 }
 
 #[test]
-fn the_holder_counts_from_the_first_of_its_repeated_claims() {
+fn a_lease_counts_from_the_first_of_repeated_claims() {
     let mut state = State::default();
     assert_eq!(state.step(false, Time(100), LEASE_MS, GUARD_MS), Step::Claim);
     assert_eq!(state.step(false, Time(200), LEASE_MS, GUARD_MS), Step::Wait);
-    assert_eq!(state.step(false, Time(500), LEASE_MS, GUARD_MS), Step::Claim, "no answer: again");
-    // Which of the two was accepted cannot be told; others may have read the
-    // first one long ago.
-    state.observe(&me(), &grant("a", 7), Time(600), LEASE_MS);
+    assert_eq!(
+        state.step(false, Time(500), LEASE_MS, GUARD_MS),
+        Step::Claim,
+        "an unanswered claim is repeated"
+    );
+    // It is unknown which of the two claims was accepted, and others may have read
+    // the first one long ago.
+    state.observe(&local(), &grant("a", 7), Time(600), LEASE_MS);
     assert_eq!(state.held_until(), Time(100 + LEASE_MS));
 }
 
 #[test]
-fn a_renewal_is_due_at_a_third_and_a_challenge_after_lease_and_guard() {
+fn renewal_is_due_at_a_third_and_a_challenge_after_lease_and_guard() {
     let mut holder = State::default();
     holder.step(false, Time(0), LEASE_MS, GUARD_MS);
-    holder.observe(&me(), &grant("a", 7), Time(10), LEASE_MS);
+    holder.observe(&local(), &grant("a", 7), Time(10), LEASE_MS);
     assert_eq!(holder.step(true, Time(10 + LEASE_MS / 3 - 1), LEASE_MS, GUARD_MS), Step::Wait);
     assert_eq!(holder.step(true, Time(10 + LEASE_MS / 3), LEASE_MS, GUARD_MS), Step::Claim);
 
     let mut challenger = State::default();
-    challenger.observe(&me(), &grant("b", 7), Time(10), LEASE_MS);
+    challenger.observe(&local(), &grant("b", 7), Time(10), LEASE_MS);
     let due = 10 + LEASE_MS + GUARD_MS;
     assert_eq!(challenger.step(false, Time(due - 1), LEASE_MS, GUARD_MS), Step::Wait);
     assert_eq!(challenger.step(false, Time(due), LEASE_MS, GUARD_MS), Step::Claim);
 }
 
 #[test]
-fn another_holders_grant_ends_the_lease_at_once() {
+fn a_grant_to_another_holder_ends_the_lease() {
     let mut state = State::default();
     state.step(false, Time(100), LEASE_MS, GUARD_MS);
-    state.observe(&me(), &grant("a", 7), Time(110), LEASE_MS);
-    state.observe(&me(), &grant("b", 9), Time(120), LEASE_MS);
+    state.observe(&local(), &grant("a", 7), Time(110), LEASE_MS);
+    state.observe(&local(), &grant("b", 9), Time(120), LEASE_MS);
     assert_eq!(state.held_until(), Time(0));
 }
--- a/crates/hollywell/tests/overload.rs
+++ b/crates/hollywell/tests/overload.rs
@@ -1,6 +1,6 @@
-//! A burst that ends must leave nothing behind: goodput comes back without
-//! anybody's help. Work that timed out still takes up the targets, so
-//! retries without a budget keep them busy for nothing.
+//! Goodput must recover by itself after a burst. Requests that timed out still
+//! occupy the targets, so that retries without a budget would keep them busy with
+//! work that nobody waits for.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -14,12 +14,12 @@
 
 const TARGETS: usize = 4;
 /// Requests that a target serves in one tick.
-const SERVED: usize = 3;
-/// Ticks after which an attempt is given up.
-const PATIENCE: u64 = 8;
+const SERVED_A_TICK: usize = 3;
+/// Ticks after which an attempt times out.
+const TIMEOUT_TICKS: u64 = 8;
 const TICK_MS: u64 = 100;
-/// Requests a tick: three quarters of what the targets serve.
-const USUAL: usize = 9;
+/// Requests per tick outside the burst: three quarters of the targets' capacity.
+const ARRIVALS: usize = 9;
 const BURST: usize = 40;
 const BURST_TICKS: std::ops::Range<u64> = 50..70;
 const TICKS: u64 = 200;
@@ -30,7 +30,8 @@
     since: u64,
 }
 
-/// Targets that serve in order of arrival and do not know who has given up.
+/// Simulated targets that serve in order of arrival, including attempts that have
+/// timed out.
 struct Targets {
     queues: Vec<VecDeque<Attempt>>,
     waiting: BTreeMap<Dispatch, u64>,
@@ -45,19 +46,19 @@
     fn take(&mut self, effects: &[Effect], now: u64) {
         for effect in effects {
             if let Effect::Dispatch { request, dispatch, address, .. } = effect {
-                let place: usize = address.parse().expect("the address is the target's place");
+                let index: usize = address.parse().expect("the address is the target's index");
                 let (dispatch, request) = (*dispatch, *request);
-                self.queues[place].push_back(Attempt { dispatch, request, since: now });
+                self.queues[index].push_back(Attempt { dispatch, request, since: now });
                 self.waiting.insert(dispatch, now);
             }
         }
     }
 
-    /// Attempts that end in this tick, and how.
+    /// Returns the attempts that end in this tick, and how.
     fn tick(&mut self, now: u64) -> Vec<(Dispatch, End)> {
         let mut ended = vec![];
         for queue in &mut self.queues {
-            let served = queue.len().min(SERVED);
+            let served = queue.len().min(SERVED_A_TICK);
             for attempt in queue.drain(..served) {
                 debug_assert!(attempt.request.0 > 0 && attempt.since <= now);
                 if self.waiting.remove(&attempt.dispatch).is_some() {
@@ -65,19 +66,19 @@
                 }
             }
         }
-        let given_up = self.waiting.extract_if(.., |_, since| now - *since >= PATIENCE);
-        ended.extend(given_up.map(|(dispatch, _)| (dispatch, End::Broken)));
+        let timed_out = self.waiting.extract_if(.., |_, since| now - *since >= TIMEOUT_TICKS);
+        ended.extend(timed_out.map(|(dispatch, _)| (dispatch, End::Broken)));
         ended
     }
 }
 
 fn list() -> Vec<Listed> {
-    let target = |place: usize| Listed {
-        name: format!("s{place}"),
+    let target = |index: usize| Listed {
+        name: format!("s{index}"),
         kind: MemberKind::Service,
         pool: "app".into(),
         domain: "d".into(),
-        address: place.to_string(),
+        address: index.to_string(),
         leaving: false,
     };
     (0..TARGETS).map(target).collect()
@@ -88,8 +89,8 @@
     effects.iter().filter(stored).count()
 }
 
-/// Requests answered in each tick.
-fn run() -> Vec<usize> {
+/// Runs the simulation and returns the number of requests answered in each tick.
+fn goodput_per_tick() -> Vec<usize> {
     let mut config = Config::new(Instance::new("a", 1), "d", &["d"]);
     config.calls = 100_000;
     let mut state = State::new(config);
@@ -106,7 +107,7 @@
             good += answered(&effects);
             targets.take(&effects, tick);
         }
-        let arrivals = if BURST_TICKS.contains(&tick) { BURST } else { USUAL };
+        let arrivals = if BURST_TICKS.contains(&tick) { BURST } else { ARRIVALS };
         for _ in 0..arrivals {
             last_request += 1;
             let call = Call {
@@ -127,12 +128,18 @@
 }
 
 #[test]
-fn goodput_comes_back_after_a_burst() {
-    let goodput = run();
+fn goodput_recovers_after_a_burst() {
+    let goodput = goodput_per_tick();
     let per_tick = |ticks: &[usize]| ticks.iter().sum::<usize>() as f64 / ticks.len() as f64;
     let before = per_tick(&goodput[10..50]);
     let after = per_tick(&goodput[150..200]);
     println!("answered a tick: {before:.1} before the burst, {after:.1} after");
-    assert!(before > 8.5, "{before:.1} of {USUAL} a tick before the burst");
-    assert!(after > 8.5, "{after:.1} of {USUAL} a tick long after the burst");
+    assert!(
+        before > 8.5,
+        "expected more than 8.5 of {ARRIVALS} answered per tick before the burst, got {before:.1}"
+    );
+    assert!(
+        after > 8.5,
+        "expected more than 8.5 of {ARRIVALS} answered per tick long after the burst, got {after:.1}"
+    );
 }
--- a/crates/hollywell/tests/reader.rs
+++ b/crates/hollywell/tests/reader.rs
@@ -1,5 +1,5 @@
-//! Many instances that read the store together: after a loss of all power
-//! each of them reads everything, over one bandwidth.
+//! Many instances that read the store concurrently. After a power loss each of
+//! them reads all records, and they share the store's bandwidth.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -23,39 +23,40 @@
     time::{Instant, sleep_until, timeout},
 };
 
-/// Instances, the partitions that each reads, and the pages of each: a busy
-/// day's jobs.
+/// Number of instances, of partitions that each reads, and of pages of each
+/// partition: the jobs of a busy day.
 const INSTANCES: usize = 295;
 const PARTS: usize = 4;
 const PAGES: usize = 2;
-/// Bytes of a page, and those that the store sends in a second.
+/// Bytes of a page, and bytes that the store sends per second.
 const PAGE_BYTES: u64 = 300_000;
 const BYTES_A_SECOND: u64 = 80_000_000;
 
-/// A store that sends its answers one after the other, whether or not anybody
-/// still waits for them.
-struct Line {
+/// A simulated store that sends its answers one after the other, also those of
+/// calls that have timed out.
+struct Store {
     free_at: Cell<Instant>,
     sent: Cell<u64>,
-    /// Calls that got no answer in time, and connections that are dead.
-    given_up: Cell<u64>,
+    /// Number of calls that timed out.
+    timed_out: Cell<u64>,
+    /// Instances whose connection is dead.
     dead: RefCell<Vec<usize>>,
-    /// What is asked for before gets no answer at all.
-    cut_until: Cell<Instant>,
+    /// End of a network partition: calls made before get no answer.
+    partitioned_until: Cell<Instant>,
 }
 
-impl Line {
-    fn new() -> Rc<Line> {
-        Rc::new(Line {
+impl Store {
+    fn new() -> Rc<Store> {
+        Rc::new(Store {
             free_at: Cell::new(Instant::now()),
             sent: Cell::new(0),
-            given_up: Cell::new(0),
+            timed_out: Cell::new(0),
             dead: RefCell::default(),
-            cut_until: Cell::new(Instant::now()),
+            partitioned_until: Cell::new(Instant::now()),
         })
     }
 
-    /// Sends so many bytes, and waits until they have arrived.
+    /// Sends `bytes` bytes and waits until they have arrived.
     async fn send(&self, bytes: u64) {
         let took = Duration::from_secs_f64(bytes as f64 / BYTES_A_SECOND as f64);
         let done = self.free_at.get().max(Instant::now()) + took;
@@ -64,35 +65,35 @@
         sleep_until(done).await;
     }
 
-    /// The client of one instance. Its first call after it is named in
-    /// `dead` gets no answer.
-    fn client(self: &Rc<Line>, instance: usize) -> Client {
+    /// Returns the client of one instance. Its first call after the instance is
+    /// added to `dead` gets no answer.
+    fn client(self: &Rc<Store>, instance: usize) -> Client {
         fn refused<I: 'static, T: 'static>() -> Rc<dyn Fn(I) -> LocalFuture<Result<T, StoreError>>>
         {
-            Rc::new(|_| Box::pin(async { Err(StoreError::Refused(String::from("not played"))) }))
+            Rc::new(|_| Box::pin(async { Err(StoreError::Refused(String::from("not simulated"))) }))
         }
-        let line = self.clone();
+        let store = self.clone();
         let newest = move |limited: hollywell::entry::store::WithIdleTimeout<(
             Partition,
             Option<String>,
         )>| {
-            let line = line.clone();
+            let store = store.clone();
             let page: LocalFuture<Result<Page, StoreError>> = Box::pin(async move {
                 let (_, after) = limited.read;
                 let number = after.map_or(0, |after| after.parse::<usize>().unwrap() + 1);
                 let is_dead = {
-                    let mut dead = line.dead.borrow_mut();
+                    let mut dead = store.dead.borrow_mut();
                     let at = dead.iter().position(|other| *other == instance);
                     at.map(|at| dead.remove(at)).is_some()
                 };
                 let answer = async {
-                    if is_dead || Instant::now() < line.cut_until.get() {
+                    if is_dead || Instant::now() < store.partitioned_until.get() {
                         std::future::pending::<()>().await;
                     }
-                    line.send(PAGE_BYTES).await;
+                    store.send(PAGE_BYTES).await;
                 };
                 if timeout(limited.idle_timeout, answer).await.is_err() {
-                    line.given_up.set(line.given_up.get() + 1);
+                    store.timed_out.set(store.timed_out.get() + 1);
                     return Err(StoreError::TimedOut);
                 }
                 let after = (number + 1 < PAGES).then(|| number.to_string());
@@ -100,11 +101,11 @@
             });
             page
         };
-        let line = self.clone();
+        let store = self.clone();
         let read = move |limited: hollywell::entry::store::WithIdleTimeout<Read>| {
-            let line = line.clone();
+            let store = store.clone();
             let records: LocalFuture<Result<Records, StoreError>> = Box::pin(async move {
-                if Instant::now() >= line.cut_until.get() {
+                if Instant::now() >= store.partitioned_until.get() {
                     return Ok(Records::default());
                 }
                 sleep_until(Instant::now() + limited.idle_timeout).await;
@@ -124,7 +125,7 @@
     }
 }
 
-/// Reads all partitions to their ends; when that was done.
+/// Reads all partitions to their ends. Returns the time at which that was done.
 async fn read_all(reader: Rc<Reader>) -> Instant {
     let mut parts = Vec::new();
     for part in 0..PARTS {
@@ -143,8 +144,8 @@
     Instant::now()
 }
 
-/// Reads on in a partition until an answer comes.
-async fn read_on(reader: Rc<Reader>, part: usize) {
+/// Repeats a read of a partition until it is answered.
+async fn read_until_answered(reader: Rc<Reader>, part: usize) {
     let mut failures = 0;
     loop {
         let part = Partition::at("jobs", part);
@@ -158,60 +159,67 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn instances_that_return_together_all_read_the_store_and_throw_little_away() {
-    let line = Line::new();
+async fn concurrent_restarts_read_the_store_with_little_waste() {
+    let store = Store::new();
     let started = Instant::now();
-    let all = LocalSet::new();
-    all.run_until(async {
-        let mut instances = Vec::new();
-        for instance in 0..INSTANCES {
-            let reader = Reader::new(line.client(instance));
-            reader.set_instance_count(INSTANCES);
-            instances.push(tokio::task::spawn_local(read_all(Rc::new(reader))));
-        }
-        for instance in instances {
-            let done = timeout(Duration::from_secs(60), instance).await;
-            let done = done.expect("an instance never holds the folds again").unwrap();
-            // All that everybody wants takes 8.9 s.
-            let took = done - started;
-            assert!(took < Duration::from_secs(12), "held again after {took:?}");
-        }
-    })
-    .await;
+    let tasks = LocalSet::new();
+    tasks
+        .run_until(async {
+            let mut instances = Vec::new();
+            for instance in 0..INSTANCES {
+                let reader = Reader::new(store.client(instance));
+                reader.set_instance_count(INSTANCES);
+                instances.push(tokio::task::spawn_local(read_all(Rc::new(reader))));
+            }
+            for instance in instances {
+                let done = timeout(Duration::from_secs(60), instance).await;
+                let done = done.expect("each instance finishes within 60 s").unwrap();
+                // Sending all pages once takes 8.9 s.
+                let took = done - started;
+                assert!(
+                    took < Duration::from_secs(12),
+                    "expected all partitions to be read within 12 s, took {took:?}"
+                );
+            }
+        })
+        .await;
     let wanted = (INSTANCES * PARTS * PAGES) as u64 * PAGE_BYTES;
-    let sent = line.sent.get();
-    let given_up = line.given_up.get();
-    assert!(sent * 4 < wanted * 5, "{sent} bytes sent, {wanted} wanted, {given_up} given up");
+    let sent = store.sent.get();
+    let timed_out = store.timed_out.get();
+    assert!(
+        sent * 4 < wanted * 5,
+        "{sent} bytes sent, {wanted} wanted, {timed_out} calls timed out"
+    );
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_connection_that_died_in_silence_is_found_within_a_second() {
-    let line = Line::new();
-    line.dead.borrow_mut().push(0);
+async fn a_dead_connection_is_detected_within_a_second() {
+    let store = Store::new();
+    store.dead.borrow_mut().push(0);
     let started = Instant::now();
-    let reader = Rc::new(Reader::new(line.client(0)));
+    let reader = Rc::new(Reader::new(store.client(0)));
     let done = LocalSet::new().run_until(read_all(reader)).await;
     let took = done - started;
-    assert!(took < Duration::from_millis(1_000), "{took:?}");
+    assert!(took < Duration::from_millis(1_000), "reading took {took:?}");
 }
 
 #[tokio::test(start_paused = true)]
-async fn the_end_of_a_cut_is_noticed_soon_whatever_was_under_way() {
-    let line = Line::new();
+async fn the_end_of_a_network_partition_is_noticed_soon() {
+    let store = Store::new();
     let healed = Instant::now() + Duration::from_millis(5_000);
-    line.cut_until.set(healed);
-    let reader = Rc::new(Reader::new(line.client(0)));
+    store.partitioned_until.set(healed);
+    let reader = Rc::new(Reader::new(store.client(0)));
     reader.set_instance_count(INSTANCES);
-    let told = reader.clone();
+    let notified = reader.clone();
     let done = LocalSet::new()
         .run_until(async {
             tokio::task::spawn_local(async move {
                 sleep_until(Instant::now() + Duration::from_millis(1_600)).await;
-                told.set_store_unavailable(true);
+                notified.set_store_unavailable(true);
             });
             let mut readers = Vec::new();
             for part in 0..7 {
-                readers.push(tokio::task::spawn_local(read_on(reader.clone(), part)));
+                readers.push(tokio::task::spawn_local(read_until_answered(reader.clone(), part)));
             }
             for reader in readers {
                 reader.await.unwrap();
@@ -220,21 +228,34 @@
         })
         .await;
     let took = done - healed;
-    assert!(took < Duration::from_millis(1_500), "read {took:?} after the cut");
+    assert!(
+        took < Duration::from_millis(1_500),
+        "the last read was answered {took:?} after the network partition"
+    );
 }
 
 #[test]
-fn one_that_answers_nobody_is_asked_again_soon_and_a_crowded_one_is_not() {
+fn back_off_grows_with_load_but_not_for_an_unavailable_store() {
     for failures in 1..20 {
-        assert!(max_backoff_ms(failures, 1_000, true) <= 400, "its return is noticed");
-        assert!(max_backoff_ms(failures, 30, false) <= 400, "few instances are no crowd");
+        assert!(
+            max_backoff_ms(failures, 1_000, true) <= 400,
+            "the return of an unavailable store must be noticed soon"
+        );
+        assert!(
+            max_backoff_ms(failures, 30, false) <= 400,
+            "back-off stays short with few instances"
+        );
         assert!(max_backoff_ms(failures + 1, 300, false) >= max_backoff_ms(failures, 300, false));
     }
-    assert_eq!(max_backoff_ms(20, 300, false), 4_000, "pauses grow with the instances");
+    assert_eq!(
+        max_backoff_ms(20, 300, false),
+        4_000,
+        "the maximum back-off grows with the number of instances"
+    );
 }
 
 #[test]
-fn the_silence_that_is_borne_follows_what_answers_take() {
+fn the_timeout_follows_the_response_times() {
     arbtest::arbtest(|u| {
         let mut timeout = Timeout::default();
         let usual: u64 = u.int_in_range(1..=4_000)?;
@@ -243,8 +264,11 @@
             timeout.record_answer(took);
         }
         let limit = timeout.current_ms();
-        assert!(limit > usual, "{limit} ms where answers take {usual}");
-        assert!((800..=6_000).contains(&limit), "{limit}");
+        assert!(limit > usual, "timeout of {limit} ms with responses of {usual} ms");
+        assert!(
+            (800..=6_000).contains(&limit),
+            "expected a timeout from 800 to 6000 ms, got {limit}"
+        );
         for _ in 0..u.int_in_range(0..=50)? {
             timeout.record_timeout(timeout.current_ms());
             assert!(timeout.current_ms() <= 6_000);
--- a/crates/hollywell/tests/registry.rs
+++ b/crates/hollywell/tests/registry.rs
@@ -1,4 +1,4 @@
-//! The bytes that an instance holds are bounded.
+//! The registry of buffered responses holds a bounded number of bytes.
 
 use bytes::Bytes;
 use hollywell::{
@@ -6,15 +6,15 @@
     traffic::registry::{BufferedResponse, Registry},
 };
 
-fn answer(bytes: usize) -> BufferedResponse {
+fn response(bytes: usize) -> BufferedResponse {
     BufferedResponse { body: Bytes::from(vec![b'x'; bytes]), ..BufferedResponse::default() }
 }
 
 #[test]
-fn the_oldest_answers_make_room_for_new_ones() {
+fn the_oldest_responses_are_evicted() {
     let registry = Registry::new(1_000);
     for number in 1..=4 {
-        registry.store_response(Dispatch(number), answer(400));
+        registry.store_response(Dispatch(number), response(400));
     }
     let held: Vec<u64> =
         (1..=4).filter(|number| registry.response(Dispatch(*number)).is_some()).collect();
@@ -22,14 +22,15 @@
 }
 
 #[test]
-fn forgotten_answers_make_room_and_the_newest_is_always_held() {
+fn forgotten_responses_free_space_and_the_newest_is_kept() {
     let registry = Registry::new(1_000);
-    registry.store_response(Dispatch(1), answer(900));
+    registry.store_response(Dispatch(1), response(900));
     registry.forget(Dispatch(1));
-    registry.store_response(Dispatch(2), answer(900));
+    registry.store_response(Dispatch(2), response(900));
     assert!(registry.response(Dispatch(2)).is_some());
-    // Its caller waits for it: one answer over the bound is passed on.
-    registry.store_response(Dispatch(3), answer(5_000));
+    // A caller waits for the newest response, so it is kept even if it exceeds the
+    // bound.
+    registry.store_response(Dispatch(3), response(5_000));
     assert!(registry.response(Dispatch(3)).is_some());
     assert!(registry.response(Dispatch(2)).is_none());
 }
--- a/crates/hollywell/tests/relay.rs
+++ b/crates/hollywell/tests/relay.rs
@@ -1,4 +1,5 @@
-//! Who reads the store after a start of all, and who follows whom.
+//! The relay trees: which instances read the store after all have started, and
+//! which instance follows which source.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -15,29 +16,32 @@
     (0..instances).map(member).collect()
 }
 
-/// Steps from an instance to one that reads the store.
-fn depth(members: &[String], me: &str) -> usize {
-    let mut at = me.to_owned();
+/// Returns the number of hops from an instance to one that reads the store.
+fn depth(members: &[String], member: &str) -> usize {
+    let mut at = member.to_owned();
     for steps in 0..=members.len() {
         match parent(members, &at) {
             None => return steps,
             Some(next) => at = next.to_owned(),
         }
     }
-    panic!("{me} follows a circle");
+    panic!("{member} is in a cycle");
 }
 
 #[test]
-fn readers_of_the_store_are_few_and_nobody_is_far_from_one() {
+fn few_instances_read_the_store_and_the_trees_are_shallow() {
     for (instances, domains) in [(13, 4), (30, 6), (100, 6), (295, 6), (340, 33), (1_000, 6)] {
         let members = fleet(instances, domains);
-        let readers = members.iter().filter(|me| parent(&members, me).is_none()).count();
-        let each = instances.div_ceil(domains);
+        let readers = members.iter().filter(|member| parent(&members, member).is_none()).count();
+        let instances_per_domain = instances.div_ceil(domains);
         assert!(readers <= domains * 8, "{readers} of {instances} read the store");
-        let deepest = members.iter().map(|me| depth(&members, me)).max().unwrap();
-        assert!(3_usize.pow(deepest as u32) <= each, "{deepest} steps among {each}");
+        let max_depth = members.iter().map(|member| depth(&members, member)).max().unwrap();
+        assert!(
+            3_usize.pow(max_depth as u32) <= instances_per_domain,
+            "{max_depth} hops among {instances_per_domain} instances"
+        );
         let mut followers: BTreeMap<&str, usize> = BTreeMap::new();
-        for parent in members.iter().filter_map(|me| parent(&members, me)) {
+        for parent in members.iter().filter_map(|member| parent(&members, member)) {
             *followers.entry(parent).or_default() += 1;
         }
         assert!(followers.values().all(|count| *count <= 3), "{followers:?}");
@@ -45,41 +49,41 @@
 }
 
 #[test]
-fn whoever_is_followed_is_of_the_same_domain() {
+fn a_parent_is_in_the_same_domain() {
     let members = fleet(295, 6);
-    for me in &members {
-        if let Some(parent) = parent(&members, me) {
-            assert_eq!(domain(parent), domain(me));
+    for member in &members {
+        if let Some(parent) = parent(&members, member) {
+            assert_eq!(domain(parent), domain(member));
         }
-        assert!(has_relays(&members, me));
+        assert!(has_relays(&members, member));
     }
     assert!(!has_relays(&fleet(13, 4), "i1@10.0.0.1:80+1/1a"));
 }
 
 #[test]
-fn lists_that_differ_make_no_circle() {
+fn differing_member_lists_make_no_cycle() {
     arbtest::arbtest(|u| {
         let all = fleet(60, 2);
-        let some = |u: &mut Unstructured<'_>| {
+        let random_list = |u: &mut Unstructured<'_>| {
             let kept: Result<Vec<bool>, _> = all.iter().map(|_| u.ratio(4, 5)).collect();
             let kept = all.iter().zip(kept?).filter(|(_, kept)| *kept);
-            // Some list an earlier run of an instance.
-            let run = u.choose(&["1a", "0b"])?;
-            let renamed = kept.map(|(member, _)| format!("{}/{run}", instance(member)));
+            // Some lists have another incarnation of the instances.
+            let incarnation = u.choose(&["1a", "0b"])?;
+            let renamed = kept.map(|(member, _)| format!("{}/{incarnation}", instance(member)));
             Ok::<Vec<String>, arbtest::arbitrary::Error>(renamed.collect())
         };
         let mut follows: BTreeMap<String, String> = BTreeMap::new();
-        for me in &all {
-            let list = some(u)?;
-            if let Some(parent) = parent(&list, me) {
-                follows.insert(instance(me).to_owned(), instance(parent).to_owned());
+        for member in &all {
+            let list = random_list(u)?;
+            if let Some(parent) = parent(&list, member) {
+                follows.insert(instance(member).to_owned(), instance(parent).to_owned());
             }
         }
         for start in follows.keys() {
             let mut seen = BTreeSet::new();
             let mut at = start;
             while let Some(next) = follows.get(at) {
-                assert!(seen.insert(at), "{start} follows a circle: {seen:?}");
+                assert!(seen.insert(at), "{start} leads to a cycle: {seen:?}");
                 at = next;
             }
         }
@@ -88,7 +92,7 @@
 }
 
 #[test]
-fn a_member_s_name_carries_its_address_and_domain() {
+fn a_member_name_contains_its_address_and_domain() {
     let member = "front-1@10.0.0.7:7720+3/1a2b";
     assert_eq!(address(member), Some(([10, 0, 0, 7], 7_720).into()));
     assert_eq!(domain(member), Some("3"));
