--- a/crates/hollywell/tests/hold.rs
+++ b/crates/hollywell/tests/hold.rs
@@ -6,8 +6,8 @@
 /// Default situation of the cases below: a full pool.
 const FULL: Situation = Situation { known: true, usable: 4, usual_ms: Some(40), left_ms: 800 };
 
-/// Returns how long a caller is held before it is rejected, when decided every
-/// 25 ms as the instance does.
+/// Returns how long a caller is held, in the cases below with 800 ms left, before
+/// it is rejected. Decides every 25 ms as the instance does.
 fn held_ms(situation: Situation) -> u64 {
     let checks = (0..=situation.left_ms).step_by(25);
     let is_decided = |waited: &u64| {
--- a/crates/hollywell/tests/server.rs
+++ b/crates/hollywell/tests/server.rs
@@ -1,4 +1,4 @@
-//! Bad input over HTTP: every answer comes from the closed table, is
+//! Invalid input over HTTP: every answer is one of the defined error kinds, is
 //! counted, and leaves the instance serving.
 
 use std::{net::SocketAddr, time::Duration};
@@ -23,7 +23,8 @@
     sync::watch,
 };
 
-const NOWHERE: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 1);
+const UNREACHABLE: SocketAddr =
+    SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 1);
 
 struct Running {
     address: SocketAddr,
@@ -32,14 +33,14 @@
 
 async fn start() -> Running {
     let clock = Clock::start();
-    let metrics = Metrics::new().expect("the metrics' names differ");
+    let metrics = Metrics::new().expect("metric names are unique");
     let config = Config::new(Instance::new("a", 1), "d", &["d"]);
     let options = Options { config, queue: 64, trace: None, metrics: metrics.clone(), clock };
-    let (control, effects) = control::start(options).expect("a thread can be started");
+    let (control, effects) = control::start(options).expect("the control thread starts");
     let platform = Platform {
-        log: NOWHERE,
-        list: NOWHERE,
-        weights: NOWHERE,
+        log: UNREACHABLE,
+        list: UNREACHABLE,
+        weights: UNREACHABLE,
         list_ms: 1_000,
         load_ms: 1_000,
         poll_ms: 1_000,
@@ -56,8 +57,8 @@
     let executor = Executor::new(control.clone(), clock, platform, &limits, metrics.clone());
     let registry = executor.registry.clone();
     tokio::spawn(executor.run(effects));
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port is free");
-    let address = listener.local_addr().expect("it is bound");
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
+    let address = listener.local_addr().expect("the listener is bound");
     let (stop, stopping) = watch::channel(false);
     let watchdog = Watchdog::new(clock.now());
     tokio::spawn(watchdog.clone().run(clock));
@@ -67,8 +68,9 @@
     Running { address, stop }
 }
 
-/// One pool that answers garbage, one that stops in mid-answer, one that is
-/// not there, and one that answers more than is allowed.
+/// Starts targets and lists them, one pool each: one answers invalid HTTP, one
+/// stops in the middle of an answer, one is unreachable, one exceeds the size
+/// limit, and one answers correctly.
 async fn targets() -> Vec<Listed> {
     let long = format!("HTTP/1.1 200 OK\r\ncontent-length: 9000\r\n\r\n{}", "x".repeat(9_000));
     let answers = [
@@ -77,22 +79,22 @@
         ("long", long),
         ("good", String::from("HTTP/1.1 200 OK\r\ncontent-length: 4\r\n\r\ngood")),
     ];
-    let mut listed = vec![line("absent", NOWHERE)];
+    let mut targets = vec![listed("absent", UNREACHABLE)];
     for (name, answer) in answers {
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port is free");
-        listed.push(line(name, listener.local_addr().expect("it is bound")));
+        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
+        targets.push(listed(name, listener.local_addr().expect("the listener is bound")));
         tokio::spawn(async move {
             while let Ok((mut stream, _)) = listener.accept().await {
-                let mut head = [0; 4_096];
-                let _read = stream.read(&mut head).await;
+                let mut header = [0; 4_096];
+                let _read = stream.read(&mut header).await;
                 let _written = stream.write_all(answer.as_bytes()).await;
             }
         });
     }
-    listed
+    targets
 }
 
-fn line(pool: &str, address: SocketAddr) -> Listed {
+fn listed(pool: &str, address: SocketAddr) -> Listed {
     Listed {
         name: format!("{pool}-1"),
         kind: Kind::Service,
@@ -103,12 +105,12 @@
     }
 }
 
-/// Sends raw bytes and reads all that comes back until the end.
+/// Sends raw bytes and reads the answer until the connection closes.
 async fn exchange(address: SocketAddr, bytes: &str) -> String {
     let mut stream = TcpStream::connect(address).await.expect("the server listens");
     stream.write_all(bytes.as_bytes()).await.expect("the server reads");
     let mut answer = vec![];
-    // A reset after the answer is as good an end as any.
+    // A connection reset after the answer is accepted as its end.
     let _ended = stream.read_to_end(&mut answer).await;
     String::from_utf8_lossy(&answer).into_owned()
 }
@@ -132,7 +134,7 @@
 }
 
 #[tokio::test]
-async fn bad_requests_get_the_closed_tables_answers_and_are_counted() {
+async fn invalid_requests_get_defined_errors_and_are_counted() {
     let running = start().await;
     let step = |trainer: &str, samples: u32| {
         format!(
@@ -178,35 +180,35 @@
 }
 
 #[tokio::test]
-async fn oversized_heads_and_slow_callers_are_turned_away_and_others_served() {
+async fn oversized_headers_and_slow_callers_are_refused_and_others_served() {
     let running = start().await;
-    let long_head = get("/healthz").replace("host: a", &format!("x: {}", "y".repeat(20_000)));
-    let answer = exchange(running.address, &long_head).await;
+    let long_header = get("/healthz").replace("host: a", &format!("x: {}", "y".repeat(20_000)));
+    let answer = exchange(running.address, &long_header).await;
     assert!(answer.is_empty() || answer.starts_with("HTTP/1.1 431"), "{answer}");
-    // A head that never ends is given up on without an answer; a body that
-    // never ends is refused.
+    // An incomplete header times out without an answer; an incomplete body is
+    // refused.
     let answer = exchange(running.address, "GET /healthz HTTP/1.1\r\n").await;
     assert!(answer.is_empty() || answer.starts_with("HTTP/1.1 408"), "{answer}");
-    let half = post("/svc/good/x", "whole").replace("whole", "w");
-    assert_answer(&running, &half, "400", "malformed").await;
-    // A caller that vanishes takes nothing with it.
-    let mut vanishing = TcpStream::connect(running.address).await.expect("the server listens");
-    vanishing.write_all(post("/svc/good/x", "b").as_bytes()).await.expect("the server reads");
-    drop(vanishing);
+    let incomplete = post("/svc/good/x", "whole").replace("whole", "w");
+    assert_answer(&running, &incomplete, "400", "malformed").await;
+    // A caller that disconnects does not affect others.
+    let mut disconnecting = TcpStream::connect(running.address).await.expect("the server listens");
+    disconnecting.write_all(post("/svc/good/x", "b").as_bytes()).await.expect("the server reads");
+    drop(disconnecting);
     let answer = exchange(running.address, &get("/healthz")).await;
     assert!(answer.ends_with("ok\n"), "{answer}");
 }
 
 #[tokio::test]
-async fn a_stopping_server_answers_connections_that_were_made_before() {
+async fn a_stopping_server_answers_existing_connections() {
     let running = start().await;
     let mut early = TcpStream::connect(running.address).await.expect("the server listens");
-    // Accepted, but its first request is not there yet when the stop comes.
+    // The connection is accepted, but its first request arrives after the stop.
     tokio::time::sleep(Duration::from_millis(20)).await;
     running.stop.send_replace(true);
     tokio::time::sleep(Duration::from_millis(20)).await;
-    early.write_all(get("/healthz").as_bytes()).await.expect("it is still open");
+    early.write_all(get("/healthz").as_bytes()).await.expect("the connection is open");
     let mut answer = String::new();
-    early.read_to_string(&mut answer).await.expect("it is answered");
+    early.read_to_string(&mut answer).await.expect("the request is answered");
     assert!(answer.ends_with("ok\n"), "{answer}");
 }
--- a/crates/hollywell/tests/settings.rs
+++ b/crates/hollywell/tests/settings.rs
@@ -1,5 +1,5 @@
-//! Settings and the CSV form of the table: what is accepted, and that every
-//! fault says where it is and what is allowed.
+//! Parsing of settings and of the CSV form of the table: accepted input, and
+//! errors that name their position and the allowed values.
 
 use hollywell::{cli::table::parse_csv, settings::Settings};
 
@@ -18,20 +18,20 @@
 
 fn faults(text: &str) -> Vec<String> {
     let path = std::path::Path::new("h1.ini");
-    let faults = Settings::parse(path, text).expect_err("the settings have a fault");
+    let faults = Settings::parse(path, text).expect_err("invalid settings");
     faults.iter().map(ToString::to_string).collect()
 }
 
 #[test]
-fn good_settings_are_typed() {
-    let settings = Settings::parse("h1.ini".as_ref(), GOOD).expect("these are good");
+fn valid_settings_are_parsed() {
+    let settings = Settings::parse("h1.ini".as_ref(), GOOD).expect("valid settings");
     assert_eq!(settings.config.domains, ["ruwi-hall", "seeb-hall"]);
     assert_eq!(settings.listen.port(), 8080);
-    assert_eq!(settings.limits.queue, 4_096, "the default");
+    assert_eq!(settings.limits.queue, 4_096, "the default applies");
 }
 
 #[test]
-fn every_fault_is_reported_with_its_place() {
+fn every_error_is_reported_with_its_line() {
     let text = GOOD.replace("name = h1", "nmae = h1").replace("127.0.0.1:2", "somewhere:2");
     let found = faults(&format!("{text}[limits]\nqueue = 3\n"));
     let expected = [
@@ -47,38 +47,38 @@
 }
 
 #[test]
-fn an_own_domain_that_is_not_listed_is_a_fault() {
+fn an_unlisted_own_domain_is_an_error() {
     let found = faults(&GOOD.replace("ruwi-hall, seeb-hall", "seeb-hall"));
     assert_eq!(found.len(), 1, "{found:?}");
     assert!(found[0].contains(r#"names that include "ruwi-hall""#), "{}", found[0]);
 }
 
 #[test]
-fn an_unknown_section_is_a_fault() {
+fn an_unknown_section_is_an_error() {
     let found = faults(&format!("{GOOD}[limit]\nqueue = 30\n"));
     assert_eq!(found.len(), 1, "{found:?}");
     assert!(found[0].contains("no such section"), "{}", found[0]);
 }
 
 #[test]
-fn csv_rows_keep_the_revision_that_they_were_based_on() {
+fn csv_rows_keep_their_base_revision() {
     let csv = "trainer,weight,staleness,priority,in_flight,revision\nfraud,2,0,5,16,41\n";
-    let rows = parse_csv(csv.as_bytes()).expect("a good table");
+    let rows = parse_csv(csv.as_bytes()).expect("a valid table");
     assert_eq!((rows[0].0.weight, rows[0].1), (2, Some(41)));
     let csv = "trainer,weight,staleness,priority,in_flight\nfraud,2,0,5,16\n";
-    let rows = parse_csv(csv.as_bytes()).expect("a table of new rows");
+    let rows = parse_csv(csv.as_bytes()).expect("a valid table of new rows");
     assert_eq!(rows[0].1, None);
 }
 
 #[test]
 fn a_bad_cell_names_row_and_column() {
     let csv = "trainer,weight,staleness,priority,in_flight\na,1,1,1,1\nb,1,1,256,1\n";
-    let fault = parse_csv(csv.as_bytes()).expect_err("256 is too much");
+    let fault = parse_csv(csv.as_bytes()).expect_err("256 exceeds the maximum of 255");
     assert_eq!(fault, r#"row 3, column priority: "256": allowed is 0 to 255"#);
 }
 
 #[test]
-fn times_of_a_platform_may_be_fractions_and_are_checked() {
+fn durations_may_be_fractions_and_are_checked() {
     use std::time::Duration;
 
     use hollywell::entry::settings::Settings;
@@ -92,7 +92,7 @@
         )
     };
     let parse = |grace: &str| Settings::parse("a.ini".as_ref(), &text(grace));
-    let settings = parse("7.5").expect("fractions are taken");
+    let settings = parse("7.5").expect("fractions are accepted");
     assert_eq!(settings.times.grace, Duration::from_millis(7_500));
     assert_eq!(settings.times.lease, Duration::from_secs(3));
     for wrong in ["0", "-1", "NaN", "soon"] {
--- a/crates/hollywell/tests/stream.rs
+++ b/crates/hollywell/tests/stream.rs
@@ -1,4 +1,4 @@
-//! The fold of the log: gaps, snapshots and peers' states.
+//! The fold of the log: gaps, snapshots and states loaded from peers.
 
 use hollywell::core::{
     stream::{Change, Fold, Record, Snapshot},
@@ -10,8 +10,8 @@
     Record::Edit(Edit { id: id.into(), by: id.into(), trainer: "t".into(), base, row: Some(row) })
 }
 
-/// A reader of all records, and its state before each offset.
-fn whole(records: &[Record]) -> Vec<Snapshot> {
+/// Folds all records and returns the state before each offset.
+fn states_by_offset(records: &[Record]) -> Vec<Snapshot> {
     let mut fold = Fold::default();
     let mut states = vec![fold.state().clone()];
     for (offset, record) in records.iter().enumerate() {
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn a_record_twice_changes_nothing() {
+fn a_record_read_twice_is_applied_once() {
     let mut fold = Fold::default();
     assert_eq!(fold.read(0, &edit("a", None)).len(), 1);
     assert_eq!(fold.read(0, &edit("b", None)), []);
@@ -34,30 +34,34 @@
 }
 
 #[test]
-fn a_reader_after_a_gap_waits_for_a_snapshot_that_joins() {
+fn a_gap_closes_with_a_snapshot_that_covers_it() {
     let records = records();
-    let states = whole(&records);
+    let states = states_by_offset(&records);
     let mut fold = Fold::default();
     fold.retained_from(2);
     fold.read(2, &records[2]);
     assert!(fold.has_gap());
-    // Written by an instance that was paused: records 1 and 2 are missing
-    // between it and what is at hand.
+    // Written by an instance that was paused: records 1 and 2 are missing between
+    // this snapshot and the records read.
     let old = Record::Snapshot(Box::new(states[1].clone()));
     assert_eq!(fold.read(3, &old), []);
-    assert!(fold.has_gap(), "an old snapshot does not join");
-    let joining = Record::Snapshot(Box::new(states[2].clone()));
-    let changes = fold.read(4, &joining);
+    assert!(fold.has_gap(), "an old snapshot must not close the gap");
+    let covering = Record::Snapshot(Box::new(states[2].clone()));
+    let changes = fold.read(4, &covering);
     assert_eq!(changes[0], Change::Loaded);
     assert!(!fold.has_gap());
-    assert_eq!(fold.state().table, states[3].table, "record 2 was folded on top");
+    assert_eq!(
+        fold.state().table,
+        states[3].table,
+        "record 2 must be applied on top of the snapshot"
+    );
     assert_eq!(fold.state().next, 5);
 }
 
 #[test]
 fn an_older_state_never_replaces_a_later_one() {
     let records = records();
-    let states = whole(&records);
+    let states = states_by_offset(&records);
     let mut fold = Fold::default();
     fold.load(&states[4]);
     assert_eq!(fold.load(&states[2]), []);
@@ -65,19 +69,19 @@
 }
 
 #[test]
-fn an_empty_log_that_has_dropped_records_is_a_gap() {
+fn a_log_without_its_first_records_has_a_gap() {
     let mut fold = Fold::default();
     fold.retained_from(7);
-    assert!(fold.has_gap(), "nothing is known of the first seven records");
+    assert!(fold.has_gap(), "the first seven records are unknown");
     let state = Snapshot { next: 7, ..Snapshot::default() };
     fold.load(&state);
     assert!(!fold.has_gap());
 }
 
 #[test]
-fn a_peers_state_and_the_log_lead_to_the_same_table() {
+fn a_peer_s_state_plus_the_log_gives_the_same_state() {
     let records = records();
-    let states = whole(&records);
+    let states = states_by_offset(&records);
     for taken in 0..states.len() {
         let mut fold = Fold::default();
         fold.load(&states[taken]);
--- a/crates/hollywell/tests/traces.rs
+++ b/crates/hollywell/tests/traces.rs
@@ -1,4 +1,5 @@
-//! Recorded runs of real processes, replayed against stated outcomes.
+//! Replays recorded runs of real processes and compares the outcomes with the
+//! expected ones.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -14,17 +15,18 @@
 };
 use serde::{Deserialize, Serialize};
 
-/// What came of a trace, counted from its effects.
+/// Outcomes of a trace, counted from its effects.
 #[derive(Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 struct Outcomes {
-    /// Samples delivered, and different places among them.
+    /// Samples delivered.
     delivered: usize,
+    /// Distinct slots of steps to which samples were delivered.
     places: usize,
-    /// Steps ended whole.
+    /// Steps that ended with all samples.
     steps_whole: usize,
-    /// Attempts at services.
+    /// Calls dispatched to services.
     dispatched: usize,
-    /// Requests answered by a target or from memory.
+    /// Requests answered by a target or with a stored answer.
     answered: usize,
     /// Requests refused, by kind.
     refused: BTreeMap<String, usize>,
@@ -65,19 +67,20 @@
 
 fn check(name: &str) {
     let directory = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/traces");
-    let trace = File::open(directory.join(format!("{name}.jsonl"))).expect("the trace is there");
-    let effects = replay(BufReader::new(trace)).expect("the trace can be read");
+    let trace = File::open(directory.join(format!("{name}.jsonl"))).expect("the trace file exists");
+    let effects = replay(BufReader::new(trace)).expect("the trace is valid");
     let effects: Vec<Effect> = effects.into_iter().flatten().collect();
     let got = outcomes(&effects);
     let path = directory.join(format!("{name}.outcomes.json"));
-    let stated = fs::read_to_string(&path).expect("the outcomes are stated");
-    let stated: Outcomes = serde_json::from_str(&stated).expect("they can be read");
+    let expected = fs::read_to_string(&path).expect("the file of expected outcomes exists");
+    let expected: Outcomes =
+        serde_json::from_str(&expected).expect("the expected outcomes are valid");
     let shown = serde_json::to_string_pretty(&got).unwrap_or_default();
-    assert_eq!(got, stated, "{name}: if the change is meant, state\n{shown}");
+    assert_eq!(got, expected, "{name}: if the change is intended, the new outcomes are\n{shown}");
 }
 
 #[test]
-fn a_step_beside_calls_that_are_refused_or_die_and_are_sent_again() {
+fn a_step_with_concurrent_calls_that_fail_and_are_retried() {
     check("step-and-calls");
 }
 
@@ -87,19 +90,19 @@
 }
 
 #[test]
-fn the_report_of_a_trace_counts_what_its_outcomes_state() {
+fn the_report_of_a_trace_matches_its_outcomes() {
     let directory = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/traces");
-    let trace = File::open(directory.join("step-and-calls.jsonl")).expect("the trace is there");
-    let scrapes = scrapes(BufReader::new(trace)).expect("the trace can be read");
-    let of = |name: &str| {
+    let trace = File::open(directory.join("step-and-calls.jsonl")).expect("the trace file exists");
+    let scrapes = scrapes(BufReader::new(trace)).expect("the trace is valid");
+    let tally = |name: &str| {
         let burns = burns(&scrapes).into_iter();
         burns
             .filter(|burn| burn.objective == name)
             .map(|burn| (burn.long.bad, burn.long.all))
             .next()
     };
-    assert_eq!(of("steps on time"), Some((0.0, 1.0)));
-    assert_eq!(of("live latency"), Some((0.0, 8.0)));
-    // 12 unknown of 8 answered, 5 refused as not run and 12 unknown.
-    assert_eq!(of("truthful refusals"), Some((12.0, 25.0)));
+    assert_eq!(tally("steps on time"), Some((0.0, 1.0)));
+    assert_eq!(tally("live latency"), Some((0.0, 8.0)));
+    // 8 calls were answered, 5 refused as not run, and 12 had an unknown outcome.
+    assert_eq!(tally("truthful refusals"), Some((12.0, 25.0)));
 }
