--- a/crates/hollywell/src/report/traced.rs
+++ b/crates/hollywell/src/report/traced.rs
@@ -82,7 +82,8 @@
              hollywell_answers_total{{class=\"target\"}} {answered}\n\
              hollywell_answers_total{{class=\"not-run\"}} {not_run}\n\
              hollywell_answers_total{{class=\"unknown\"}} {unknown}\n\
-             hollywell_answer_seconds_bucket{{class=\"target\",le=\"{LATENCY_THRESHOLD_S}\"}} {fast}\n\
+             hollywell_answer_seconds_bucket{{class=\"target\",\
+             le=\"{LATENCY_THRESHOLD_S}\"}} {fast}\n\
              hollywell_answer_seconds_bucket{{class=\"target\",le=\"+Inf\"}} {answered}\n"
         )
     }
