--- a/crates/hollywell/src/core/capacity.rs
+++ b/crates/hollywell/src/core/capacity.rs
@@ -25,11 +25,10 @@
 
 use crate::core::time::Time;
 
-/// Bytes that a record takes in a log besides its key and value, as measured at
-/// the users' store.
+/// Bytes that a record takes in a log of the users' store besides its key and
+/// value.
 pub const LOG_OVERHEAD: u64 = 41;
-/// Bytes that the newest record of a key takes besides its key and value, as
-/// measured at the same store.
+/// Bytes that the newest record of a key takes there besides its key and value.
 pub const LIVE_OVERHEAD: u64 = 60;
 
 /// Minimum age of records that are trimmed from a log, in milliseconds: readers
--- a/crates/hollywell/src/entry/samples.rs
+++ b/crates/hollywell/src/entry/samples.rs
@@ -31,8 +31,8 @@
     let (bundle, at, text) = {
         let control = shared.control.borrow();
         let manifest = &control.partitions[part].index.jobs.get(&sample_id.job)?.manifest;
-        let brief = manifest.samples.get(sample_id.index)?;
-        let (bundle, at) = (brief.bundle as usize, brief.at as usize);
+        let meta = manifest.samples.get(sample_id.index)?;
+        let (bundle, at) = (meta.bundle as usize, meta.at as usize);
         let cached = control.bundles.get(&(sample_id.job.clone(), bundle));
         if let Some(bundle) = cached {
             return bundle.samples.get(at).cloned();
